--- a/scalelb/lab/model_check.py
+++ b/scalelb/lab/model_check.py
@@ -1,10 +1,10 @@
-"""Every order of messages, losses, crashes and ends of permissions, in the agreement's own code.
+"""Every order of messages, losses, crashes and expiring leases, in the code of the agreement.
 
-A world is some voters, proposers and learners, the words that are under way, and one clock that goes on in
-steps. From each state every word may come next, or never; a voter may crash, with its store or without; time
-may go on. States that were seen are not gone into twice. What must hold is looked at in each: once any
-learner has decided by a version none decides by an older one, and a version has one value.
-`python -m scalelb.lab.model_check [STATES]` prints how many states were looked at.
+A world is some acceptors, proposers and learners, the messages in flight, and one clock that goes on in
+steps. From each state every message may arrive next, or never; an acceptor may crash, with its store or
+without; time may go on. States that were seen are not searched twice. The invariant is checked in each: once
+any learner has decided by a version none decides by an older one, and a version has one value. `python -m
+scalelb.lab.model_check [STATES]` prints how many states were looked at.
 """
 
 from __future__ import annotations
@@ -17,12 +17,13 @@
 from functools import partial
 from typing import Any
 
-from scalelb.agreement import Learner, Proposer, Times, Voter
-from scalelb.agreement.proposer import End
+from scalelb.consensus import Acceptor, ChangeOutcome, Learner, LeaseTimes, Proposer
+from scalelb.consensus.messages import Decided, StateRequest
+from scalelb.consensus.wire import Kind, WireMessage, kind_of
 
-VOTERS = ("a", "b", "c")
+ACCEPTORS = ("a", "b", "c")
 STEP_MS = 1000.0
-TIMES = Times(permission_ms=2000.0, renew_ms=1000.0, drift=0.0)
+TIMES = LeaseTimes(lease_ms=2000.0, renew_ms=1000.0, drift_ratio=0.0)
 
 
 class Disk:
@@ -48,15 +49,18 @@
     def __init__(self, proposers: int = 2, learners: int = 2, crashes: int = 1, losses: int = 0) -> None:
         self.now = 0.0
         self.crashes, self.losses = crashes, losses  # left
-        self.disks = {name: Disk() for name in VOTERS}
-        self.voters = {n: Voter(n, VOTERS, self.disks[n], TIMES, -10 * STEP_MS, fresh=True) for n in VOTERS}
-        for voter in self.voters.values():  # version 1 is agreed from the beginning, and long so
-            voter.received({"k": "agreed", "version": 1, "value": "one"}, 0.0)
+        self.disks = {name: Disk() for name in ACCEPTORS}
+        self.acceptors = {
+            n: Acceptor(n, ACCEPTORS, self.disks[n], TIMES, -10 * STEP_MS, is_new_register=True)
+            for n in ACCEPTORS
+        }
+        for acceptor in self.acceptors.values():  # version 1 was decided long ago
+            acceptor.receive(Decided(1, "one").to_wire(), 0.0)
         some = [f"p{n}" for n in range(proposers)]
-        self.proposers = {n: Proposer(n, VOTERS, 2, f"two of {n}", "one") for n in some}
-        self.learners = {f"l{n}": Learner(f"l{n}", "x", VOTERS, TIMES) for n in range(learners)}
-        self.words: set[bytes] = set()  # under way: to whom, from whom, what
-        self.asked: set[tuple[str, float]] = set()
+        self.proposers = {n: Proposer(n, ACCEPTORS, 2, f"two of {n}", "one") for n in some}
+        self.learners = {f"l{n}": Learner(f"l{n}", "x", ACCEPTORS, TIMES) for n in range(learners)}
+        self.in_flight: set[bytes] = set()  # pickled: receiver, sender, message
+        self.requested: set[tuple[str, float]] = set()
         self.decided = 0  # the newest version that anyone has decided by
         self.values: dict[int, str] = {}
         self.wrong = ""
@@ -65,15 +69,15 @@
 
     def steps(self) -> Iterator[Callable[[World], None]]:
         """All that may happen."""
-        for word in sorted(self.words):
-            yield partial(World.deliver, packed=word)
+        for packed in sorted(self.in_flight):
+            yield partial(World.deliver, packed=packed)
         for name, proposer in self.proposers.items():
-            if proposer.ballot.number < 2 and proposer.end is End.OPEN:
+            if proposer.ballot.number < 2 and proposer.outcome is ChangeOutcome.PENDING:
                 yield partial(World.propose, name=name)
         for name in self.learners:
-            if (name, self.now) not in self.asked:
-                yield partial(World.ask, name=name)
-        for name in VOTERS:
+            if (name, self.now) not in self.requested:
+                yield partial(World.request_leases, name=name)
+        for name in ACCEPTORS:
             if self.crashes:
                 yield partial(World.crash, name=name, keeps=True)
             if self.losses:
@@ -83,45 +87,45 @@
 
     def propose(self, name: str) -> None:
         """A proposer begins, or begins anew."""
-        self.to_all(name, self.proposers[name].begin())
+        self.to_all(name, self.proposers[name].begin_attempt())
 
-    def to_all(self, sender: str, word: dict[str, Any] | None) -> None:
-        """A word to all voters is under way."""
-        if word is not None:
-            self.words |= {pickle.dumps((name, sender, sorted(word.items()))) for name in VOTERS}
+    def to_all(self, sender: str, message: WireMessage | None) -> None:
+        """A message to all acceptors is in flight."""
+        if message is not None:
+            self.in_flight |= {pickle.dumps((name, sender, sorted(message.items()))) for name in ACCEPTORS}
 
-    def ask(self, name: str) -> None:
-        """A learner asks for its permission."""
-        self.asked.add((name, self.now))
-        self.to_all(name, self.learners[name].ask(self.now))
+    def request_leases(self, name: str) -> None:
+        """A learner requests its leases."""
+        self.requested.add((name, self.now))
+        self.to_all(name, self.learners[name].request_leases(self.now))
 
     def deliver(self, packed: bytes) -> None:
-        """One word comes; it is under way no more (a copy may be: what was sent again is another word)."""
-        self.words.discard(packed)
+        """One message arrives; it is in flight no more (what is sent again is another message)."""
+        self.in_flight.discard(packed)
         to, sender, items = pickle.loads(packed)
-        word = dict(items)
-        if to in self.voters:
-            answer = self.voters[to].received(word, self.now)
-            if answer.get("k") not in ("knows", "lost"):
-                self.words.add(pickle.dumps((sender, to, sorted(answer.items()))))
+        message = dict(items)
+        if to in self.acceptors:
+            reply = self.acceptors[to].receive(message, self.now)
+            if kind_of(reply) not in (Kind.ACKNOWLEDGED, Kind.STATE_LOST):
+                self.in_flight.add(pickle.dumps((sender, to, sorted(reply.items()))))
         elif to in self.proposers:
-            self.to_all(to, self.proposers[to].received(word))
+            self.to_all(to, self.proposers[to].receive(message))
         else:
-            self.to_all(to, self.learners[to].received(word, self.now))
+            self.to_all(to, self.learners[to].receive(message, self.now))
 
     def crash(self, name: str, keeps: bool) -> None:
-        """A voter dies and is back at once; words to it may still come."""
+        """An acceptor dies and is back at once; messages to it may still arrive."""
         if keeps:
             self.crashes -= 1
         else:
             self.losses -= 1
             self.disks[name].kept = None
-        self.voters[name] = Voter(name, VOTERS, self.disks[name], TIMES, self.now)
-        if self.voters[name].lost:
-            for other in VOTERS:
-                told = self.voters[other].received({"k": "tell"}, self.now)
-                if told["k"] == "told":
-                    self.voters[name].received(told, self.now)
+        self.acceptors[name] = Acceptor(name, ACCEPTORS, self.disks[name], TIMES, self.now)
+        if self.acceptors[name].has_lost_state:
+            for other in ACCEPTORS:
+                report = self.acceptors[other].receive(StateRequest().to_wire(), self.now)
+                if kind_of(report) is Kind.STATE_REPORT:
+                    self.acceptors[name].receive(report, self.now)
 
     def pass_time(self) -> None:
         """A step of the clock."""
@@ -131,7 +135,7 @@
 
     def look(self) -> str:
         """What is wrong in this state; empty: nothing."""
-        by = {name: learner.permitted(self.now) for name, learner in self.learners.items()}
+        by = {name: learner.permitted_version(self.now) for name, learner in self.learners.items()}
         self.decided = max([self.decided, *by.values()])
         for name, version in by.items():
             if version and version < self.decided:
@@ -139,22 +143,29 @@
             value = self.learners[name].value
             if version and self.values.setdefault(version, value) != value:
                 return f"version {version} is {value!r} and {self.values[version]!r}"
-        for voter in self.voters.values():
-            version, value = voter.state.version, voter.state.value
+        for acceptor in self.acceptors.values():
+            version = acceptor.state.decided_version
+            value = acceptor.state.decided_value
             if version and self.values.setdefault(version, value) != value:
                 return f"version {version} is {value!r} and {self.values[version]!r}"
         return ""
 
     def mark(self) -> int:
         """Tells states apart."""
-        voters = [
-            (repr(v.state), v.lost, v.free_at, sorted((k, repr(g)) for k, g in v.given.items()), disk.kept)
-            for v, disk in zip(self.voters.values(), self.disks.values(), strict=True)
+        acceptors = [
+            (
+                repr(a.state),
+                a.has_lost_state,
+                a.earlier_leases_end_at,
+                sorted((holder, repr(lease)) for holder, lease in a.leases.items()),
+                disk.kept,
+            )
+            for a, disk in zip(self.acceptors.values(), self.disks.values(), strict=True)
         ]
         others = [sorted((k, repr(v)) for k, v in vars(o).items()) for o in self.parts()]
-        asked = sorted(self.asked)
+        requested = sorted(self.requested)
         left = self.now, self.crashes, self.losses, self.decided
-        return hash(repr((left, sorted(self.words), asked, voters, others)))
+        return hash(repr((left, sorted(self.in_flight), requested, acceptors, others)))
 
     def parts(self) -> list[Any]:
         """Proposers and learners."""
--- a/tests/test_agreement.py
+++ b/tests/test_consensus.py
@@ -1,5 +1,5 @@
-"""The agreement: every order of messages, crashes and ends in its own code, planted faults that the search
-finds, long runs with clocks that differ, and words that can't be."""
+"""Consensus: every order of messages, crashes and expiring leases in its own code, planted faults that the
+search finds, long runs with clocks that differ, and messages that can't be."""
 
 from __future__ import annotations
 
@@ -13,9 +13,17 @@
 
 import pytest
 
-from scalelb.agreement import Learner, Proposer, Times, Voter, learner, proposer, voter
-from scalelb.agreement.proposer import End
-from scalelb.agreement.words import MalformedWordError
+from scalelb.consensus import (
+    Acceptor,
+    ChangeOutcome,
+    Learner,
+    LeaseTimes,
+    MalformedMessageError,
+    Proposer,
+    acceptor,
+    learner,
+    proposer,
+)
 from scalelb.lab.model_check import Disk, World, search, wander
 from scalelb.program.policy_register import PolicyRegister
 
@@ -42,39 +50,48 @@
     monkeypatch.setattr(where, name, space[name])
 
 
-def unsynced() -> World:
+def unsynced_stores() -> World:
     world = World(crashes=2)
     for disk in world.disks.values():
         disk.synced = False
     return world
 
 
-def one_life() -> World:
+def one_incarnation() -> World:
     world = World()
     for one in world.proposers.values():
-        one.life = "same"
+        one.incarnation = "same"
     return world
 
 
-def any_one(m: pytest.MonkeyPatch) -> None:
-    for module in (learner, proposer, voter):
-        m.setattr(module, "majority", lambda voters: 1)
+def quorum_of_one(m: pytest.MonkeyPatch) -> None:
+    for module in (learner, proposer, acceptor):
+        m.setattr(module, "quorum_size", lambda acceptor_count: 1)
 
 
 PLANTED: dict[str, tuple[Callable[[], World], Callable[[pytest.MonkeyPatch], None]]] = {
-    "a vote is answered before it is synced": (unsynced, lambda m: None),
-    "a permission counts from the reply's arrival": (
-        World, lambda m: changed(Learner, "received", "run = asked +", "run = now +", m)
+    "a promise is sent before it is synced": (unsynced_stores, lambda m: None),
+    "a lease counts from the reply's arrival": (
+        World,
+        lambda m: changed(
+            Learner, "receive", "self.requested_at.get(request_number(reply))",
+            "now if request_number(reply) in self.requested_at else None", m,
+        ),
     ),
-    "a minority is a quorum": (World, any_one),
-    "a ballot is used twice": (one_life, lambda m: None),
-    "a voter goes on while older permissions are out": (
+    "a minority is a quorum": (World, quorum_of_one),
+    "a ballot is used twice": (one_incarnation, lambda m: None),
+    "an acceptor goes on while older leases are out": (
         World,
-        lambda m: changed(Voter, "_permit", "max((until - now for until in out), default=0.0)", "0.0", m),
+        lambda m: changed(
+            Acceptor, "_grant_lease",
+            "max((expires_at - now for expires_at in older_leases_end_at), default=0.0)", "0.0", m,
+        ),
     ),
-    "a new life of a voter goes on at once": (
+    "a new incarnation of an acceptor goes on at once": (
         lambda: World(crashes=2),
-        lambda m: changed(Voter, "_permit", "out.append(self.free_at)", "pass", m),
+        lambda m: changed(
+            Acceptor, "_grant_lease", "older_leases_end_at.append(self.earlier_leases_end_at)", "pass", m
+        ),
     ),
 }  # fmt: skip
 
@@ -86,40 +103,43 @@
     assert wander(make, 2500, 160)[1]
 
 
-def among(world: World, *names: str) -> None:
-    """Deliver what is under way between some, until nothing is."""
-    while some := [w for w in sorted(world.words) if set(pickle.loads(w)[:2]) <= set(names)]:
+def deliver_among(world: World, *names: str) -> None:
+    """Deliver what is in flight between some, until nothing is."""
+    while some := [m for m in sorted(world.in_flight) if set(pickle.loads(m)[:2]) <= set(names)]:
         world.deliver(some[0])
 
 
 @pytest.mark.parametrize("planted", [False, True])
-def test_a_voter_that_lost_its_store_does_not_vote_as_though_it_knew(
+def test_an_acceptor_that_lost_its_store_does_not_vote_as_though_it_knew(
     planted: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The random walks do not come to this order: agreed by a and b, b loses its store, and votes with c.
+    # The random walks do not come to this order: accepted by a and b, b loses its store, and votes with c.
     if planted:
-        changed(Voter, "__post_init__", "saved is None and not self.fresh", "False", monkeypatch)
+        changed(Acceptor, "__post_init__", "saved is None and not self.is_new_register", "False", monkeypatch)
     world = World(learners=0, losses=1)
-    world.to_all("p0", world.proposers["p0"].begin())
-    among(world, "p0", "a", "b")
-    assert world.proposers["p0"].end is End.AGREED
+    world.to_all("p0", world.proposers["p0"].begin_attempt())
+    deliver_among(world, "p0", "a", "b")
+    assert world.proposers["p0"].outcome is ChangeOutcome.DECIDED
     assert world.look() == ""
     world.crash("b", False)
-    world.to_all("p1", world.proposers["p1"].begin())
-    among(world, "p1", "b", "c")
+    world.to_all("p1", world.proposers["p1"].begin_attempt())
+    deliver_among(world, "p1", "b", "c")
     assert bool(world.look()) is planted
 
 
 class Fleet:
-    """Voters, learners and changes in virtual time: clocks whose rates differ, words late, lost or twice."""
+    """Acceptors, learners and changes in virtual time: clocks whose rates differ, messages late, lost or
+    twice."""
 
-    def __init__(self, seed: int, voters: int = 3, learners: int = 4) -> None:
-        self.drawn, self.now, self.times = random.Random(seed), 0.0, Times()
-        self.names = tuple(f"v{n}" for n in range(voters))
+    def __init__(self, seed: int, acceptors: int = 3, learners: int = 4) -> None:
+        self.drawn, self.now, self.times = random.Random(seed), 0.0, LeaseTimes()
+        self.names = tuple(f"v{n}" for n in range(acceptors))
         self.rates = {n: self.drawn.uniform(0.995, 1.005) for n in (*self.names, *map(str, range(learners)))}
         self.disks = {name: Disk() for name in self.names}
-        told = self.names, self.times
-        self.voters = {n: Voter(n, told[0], self.disks[n], told[1], 0.0, fresh=True) for n in self.names}
+        self.acceptors = {
+            n: Acceptor(n, self.names, self.disks[n], self.times, 0.0, is_new_register=True)
+            for n in self.names
+        }
         self.changes: list[tuple[Proposer, Callable[[Any], None]]] = []
         self.learners = {str(n): self.learner(str(n), 0) for n in range(learners)}
         self.due: list[tuple[float, int, Callable[[], None]]] = []
@@ -127,46 +147,49 @@
         self.down: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
 
-    def learner(self, name: str, life: int) -> Learner:
-        return Learner(name, f"{name}.{life}", self.names, self.times)
+    def learner(self, name: str, incarnation: int) -> Learner:
+        return Learner(name, f"{name}.{incarnation}", self.names, self.times)
 
     def clock(self, name: str) -> float:
         return 5000.0 * (1 + len(name)) + self.now * self.rates.get(name, 1.0)
 
-    def say(self, source: str, to: str, word: Any, arrive: Callable[[Any], None]) -> None:
-        if word is None or (source, to) in self.cut or self.drawn.random() < 0.05:
+    def send(self, source: str, to: str, message: Any, arrive: Callable[[Any], None]) -> None:
+        if message is None or (source, to) in self.cut or self.drawn.random() < 0.05:
             return
         for _ in range(1 + (self.drawn.random() < 0.05)):
             self.order += 1
             at = self.now + self.drawn.choice((2.0, 10.0, 40.0, 900.0))
-            self.due.append((at, self.order, lambda: arrive(word)))
+            self.due.append((at, self.order, lambda: arrive(message)))
 
-    def to_voters(self, source: str, word: Any, answered: Callable[[Any], None]) -> None:
+    def to_acceptors(self, source: str, message: Any, replied: Callable[[Any], None]) -> None:
         for name in self.names:
 
-            def arrive(told: Any, name: str = name) -> None:
+            def arrive(request: Any, name: str = name) -> None:
                 if name not in self.down:
-                    self.say(name, source, self.voters[name].received(told, self.clock(name)), answered)
+                    reply = self.acceptors[name].receive(request, self.clock(name))
+                    self.send(name, source, reply, replied)
 
-            self.say(source, name, word, arrive)
+            self.send(source, name, message, arrive)
 
-    def ask(self, name: str) -> None:
+    def request_leases(self, name: str) -> None:
         one = self.learners[name]
 
-        def answered(word: Any) -> None:
+        def replied(reply: Any) -> None:
             if self.learners[name] is one and name not in self.down:
-                self.to_voters(name, one.received(word, self.clock(name)), lambda told: None)
+                self.to_acceptors(name, one.receive(reply, self.clock(name)), lambda reply: None)
 
-        self.to_voters(name, one.ask(self.clock(name)), answered)
+        self.to_acceptors(name, one.request_leases(self.clock(name)), replied)
 
     def propose(self, value: str) -> Proposer:
-        newest = max((v.state for v in self.voters.values()), key=lambda state: state.version)
-        change = Proposer(f"p{self.order}", self.names, newest.version + 1, value, newest.value)
+        newest = max((a.state for a in self.acceptors.values()), key=lambda state: state.decided_version)
+        change = Proposer(
+            f"p{self.order}", self.names, newest.decided_version + 1, value, newest.decided_value
+        )
 
-        def answered(word: Any) -> None:
-            self.to_voters("p", change.received(word), answered)
+        def replied(reply: Any) -> None:
+            self.to_acceptors("p", change.receive(reply), replied)
 
-        self.changes.append((change, answered))
+        self.changes.append((change, replied))
         return change
 
     def run(self, ms: float) -> None:
@@ -177,20 +200,20 @@
             self.due = [entry for entry in self.due if entry[0] > self.now]
             for _, _, do in ready:
                 do()
-            self.changes = [entry for entry in self.changes if entry[0].end is End.OPEN]
-            for change, answered in self.changes:
-                if not change.ballot.number or self.drawn.random() < 0.004:  # once more, as words get lost
-                    self.to_voters("p", change.begin(), answered)
+            self.changes = [entry for entry in self.changes if entry[0].outcome is ChangeOutcome.PENDING]
+            for change, replied in self.changes:
+                if not change.ballot.number or self.drawn.random() < 0.004:  # once more, as messages get lost
+                    self.to_acceptors("p", change.begin_attempt(), replied)
             for name, one in self.learners.items():
                 if name in self.down:
                     continue
                 if self.drawn.random() < 5.0 / self.times.renew_ms:
-                    self.ask(name)
-                if version := one.permitted(self.clock(name)):
+                    self.request_leases(name)
+                if version := one.permitted_version(self.clock(name)):
                     self.decisions.append((self.now, one.value, version))
 
-    def restart_voter(self, name: str) -> None:
-        self.voters[name] = Voter(name, self.names, self.disks[name], self.times, self.clock(name))
+    def restart_acceptor(self, name: str) -> None:
+        self.acceptors[name] = Acceptor(name, self.names, self.disks[name], self.times, self.clock(name))
         self.down.discard(name)
 
 
@@ -206,11 +229,11 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_changes_under_crashes_stalls_and_cuts_take_hold_everywhere_or_nowhere(seed: int) -> None:
-    fleet = Fleet(seed, voters=3 + 2 * (seed % 2))
+    fleet = Fleet(seed, acceptors=3 + 2 * (seed % 2))
     first = fleet.propose("first")
     fleet.run(6000.0)
-    assert first.end is End.AGREED
-    drawn, agreed = random.Random(seed), 1
+    assert first.outcome is ChangeOutcome.DECIDED
+    drawn, decided = random.Random(seed), 1
     for number in range(12):
         victim = drawn.choice((*fleet.names, *fleet.learners))
         cut = drawn.random() < 0.5
@@ -222,25 +245,25 @@
         fleet.run(drawn.uniform(50.0, 5000.0))
         fleet.cut.clear()
         if victim in fleet.names and not cut:
-            fleet.restart_voter(victim)
-        elif not cut and drawn.random() < 0.5:  # a new life; else it stood still, and wakes
+            fleet.restart_acceptor(victim)
+        elif not cut and drawn.random() < 0.5:  # a new incarnation; else it was stalled, and wakes
             fleet.learners[victim] = fleet.learner(victim, number + 1)
         fleet.down.clear()
         fleet.run(drawn.uniform(50.0, 4000.0))
-        agreed += change.end is End.AGREED
+        decided += change.outcome is ChangeOutcome.DECIDED
     for _ in range(20):  # faults are over: the next change takes hold at all
         last = fleet.propose("last")
         fleet.run(8000.0)
-        if last.end is End.AGREED:
+        if last.outcome is ChangeOutcome.DECIDED:
             break
-    for _ in range(100):  # words still get lost: sooner or later all go by it at once
+    for _ in range(100):  # messages still get lost: sooner or later all go by it at once
         fleet.run(200.0)
-        by = {one.value for name, one in fleet.learners.items() if one.permitted(fleet.clock(name))}
-        if by == {"last"} and all(one.permitted(fleet.clock(n)) for n, one in fleet.learners.items()):
+        by = {one.value for name, one in fleet.learners.items() if one.permitted_version(fleet.clock(name))}
+        if by == {"last"} and all(one.permitted_version(fleet.clock(n)) for n, one in fleet.learners.items()):
             break
     else:
         raise AssertionError("not everywhere")
-    assert agreed > 3
+    assert decided > 3
     assert checked(fleet) > 10_000
 
 
@@ -255,27 +278,27 @@
     fleet = Fleet(3)
     fleet.propose("old")
     fleet.run(6000.0)
-    assert fleet.learners["0"].permitted(fleet.clock("0"))
+    assert fleet.learners["0"].permitted_version(fleet.clock("0"))
     fleet.cut |= {("0", name) for name in fleet.names}
     fleet.propose("new")
     fleet.run(9000.0)
-    assert fleet.learners["0"].permitted(fleet.clock("0")) == 0
+    assert fleet.learners["0"].permitted_version(fleet.clock("0")) == 0
     assert {fleet.learners[n].value for n in "123"} == {"new"}
     checked(fleet)
 
 
-def test_a_voter_without_its_store_votes_again_once_enough_have_told_it() -> None:
-    voters = {n: Voter(n, NAMES, Disk(), Times(), 0.0, fresh=True) for n in NAMES}
+def test_an_acceptor_without_its_store_votes_again_once_enough_have_reported() -> None:
+    acceptors = {n: Acceptor(n, NAMES, Disk(), LeaseTimes(), 0.0, is_new_register=True) for n in NAMES}
     for name in "ab":
-        voters[name].received({"k": "agreed", "version": 4, "value": "x"}, 0.0)
-    back = Voter("a", NAMES, Disk(), Times(), 0.0)
-    assert back.received({"k": "ask", "holder": "l", "life": "1", "ask": 1, "version": 0}, 0.0)["k"] == "lost"
+        acceptors[name].receive({"k": "agreed", "version": 4, "value": "x"}, 0.0)
+    back = Acceptor("a", NAMES, Disk(), LeaseTimes(), 0.0)
+    assert back.receive({"k": "ask", "holder": "l", "life": "1", "ask": 1, "version": 0}, 0.0)["k"] == "lost"
     for name in "bc":
-        back.received(voters[name].received({"k": "tell"}, 0.0), 0.0)
-    assert (back.lost, back.state.version, back.state.value) == (False, 4, "x")
-    asked = {"k": "ask", "holder": "l", "life": "1", "version": 0}
-    assert back.received({**asked, "ask": 1}, 100.0)["k"] == "wait"  # as after a crash
-    assert back.received({**asked, "ask": 2}, 4000.0)["k"] == "permit"
+        back.receive(acceptors[name].receive({"k": "tell"}, 0.0), 0.0)
+    assert (back.has_lost_state, back.state.decided_version, back.state.decided_value) == (False, 4, "x")
+    request = {"k": "ask", "holder": "l", "life": "1", "version": 0}
+    assert back.receive({**request, "ask": 1}, 100.0)["k"] == "wait"  # as after a crash
+    assert back.receive({**request, "ask": 2}, 4000.0)["k"] == "permit"
 
 
 def spoil(path: Path, how: str) -> None:
@@ -292,29 +315,29 @@
     said: list[str] = []
     path = tmp_path / "voter.db"
     store = PolicyRegister(path, "a", lambda event, **more: said.append(event))
-    one = Voter("a", NAMES, store, Times(), 0.0, fresh=True)
-    one.received({"k": "agreed", "version": 3, "value": "x"}, 0.0)
+    one = Acceptor("a", NAMES, store, LeaseTimes(), 0.0, is_new_register=True)
+    one.receive({"k": "agreed", "version": 3, "value": "x"}, 0.0)
     store.close()
-    again = Voter(
-        "a", NAMES, PolicyRegister(path, "a", lambda event, **more: said.append(event)), Times(), 0.0
+    again = Acceptor(
+        "a", NAMES, PolicyRegister(path, "a", lambda event, **more: said.append(event)), LeaseTimes(), 0.0
     )
-    assert (again.state.version, again.lost, said) == (3, False, [])
+    assert (again.state.decided_version, again.has_lost_state, said) == (3, False, [])
     spoil(path, how)
-    last = Voter(
-        "a", NAMES, PolicyRegister(path, "a", lambda event, **more: said.append(event)), Times(), 0.0
+    last = Acceptor(
+        "a", NAMES, PolicyRegister(path, "a", lambda event, **more: said.append(event)), LeaseTimes(), 0.0
     )
-    assert last.lost
+    assert last.has_lost_state
     assert said == ["register"] * (how != "empty")
     other = PolicyRegister(tmp_path / "other.db", "b", lambda event, **more: None)
-    Voter("b", NAMES, other, Times(), 0.0, fresh=True)
+    Acceptor("b", NAMES, other, LeaseTimes(), 0.0, is_new_register=True)
     other.close()
-    assert Voter(
-        "a", NAMES, PolicyRegister(tmp_path / "other.db", "a", lambda e, **m: None), Times(), 0.0
-    ).lost
+    assert Acceptor(
+        "a", NAMES, PolicyRegister(tmp_path / "other.db", "a", lambda e, **m: None), LeaseTimes(), 0.0
+    ).has_lost_state
 
 
 @pytest.mark.parametrize(
-    "word",
+    "message",
     [
         {}, {"k": "odd"}, {"k": "prepare"}, {"k": "accept", "version": 2},
         {"k": "prepare", "version": -1, "ballot": [1, "x"], "before": ""},
@@ -326,9 +349,9 @@
         {"k": "back", "holder": "l", "life": "1", "ask": 2**60},
     ],
 )  # fmt: skip
-def test_a_word_that_can_not_be_changes_nothing(word: dict[str, Any]) -> None:
-    one = Voter("a", NAMES, Disk(), Times(), 0.0, fresh=True)
-    before = repr((one.state, one.given))
-    with pytest.raises(MalformedWordError):
-        one.received(word, 1.0)
-    assert repr((one.state, one.given)) == before
+def test_a_message_that_can_not_be_changes_nothing(message: dict[str, Any]) -> None:
+    one = Acceptor("a", NAMES, Disk(), LeaseTimes(), 0.0, is_new_register=True)
+    before = repr((one.state, one.leases))
+    with pytest.raises(MalformedMessageError):
+        one.receive(message, 1.0)
+    assert repr((one.state, one.leases)) == before
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -16,15 +16,15 @@
 MAY_USE = {
     "fairness": {"fairness"},
     "overload": {"overload"},
-    "agreement": {"agreement"},
+    "consensus": {"consensus"},
     "routing": {"fairness", "overload", "routing"},
     "protocol": {"protocol"},
     "transport": {"routing", "protocol", "transport"},
     "middleware": {"fairness", "routing", "protocol", "middleware"},
     "peers": {"peers"},
-    "program": {"agreement", "fairness", "overload", "peers", "routing", "protocol", "transport", "program"},
+    "program": {"consensus", "fairness", "overload", "peers", "routing", "protocol", "transport", "program"},
     "lab": {
-        "agreement", "fairness", "overload", "peers", "routing", "protocol", "transport", "program", "lab",
+        "consensus", "fairness", "overload", "peers", "routing", "protocol", "transport", "program", "lab",
     },
     "__main__": {"lab"},
     "wirehost": {"routing", "program", "wirehost"},
@@ -35,7 +35,7 @@
     "fairness": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "routing": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "protocol": {"twisted", "socket"},
-    "agreement": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
+    "consensus": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "overload": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "peers": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
 }
@@ -64,7 +64,7 @@
 
 def test_the_program_does_without_the_extras_until_they_are_configured() -> None:
     extras = (
-        "grpc google.protobuf starlette numpy pyarrow click scalelb.lab scalelb.peers scalelb.agreement "
+        "grpc google.protobuf starlette numpy pyarrow click scalelb.lab scalelb.peers scalelb.consensus "
         "scalelb.program.peer_connections scalelb.program.peering scalelb.transport.peerlink asyncio"
     )
     code = (
