--- a/scalelb/lab/flock.py
+++ b/scalelb/lab/flock.py
@@ -1,4 +1,4 @@
-"""Many limiters in one process and in virtual time, with their mesh between them, killed and cut on command.
+"""Many limiters in one process and in virtual time, with links between them, killed and cut on command.
 
 One kernel, a seed, and for everything that can happen a stream of its own: a run is the same from its seed.
 The links carry what the real ones do (the same objects through the same JSON), late by a drawn time; each can
@@ -16,8 +16,8 @@
 import orjson
 
 from scalelb.lab.model import START_MS, Limiter, World
-from scalelb.peers import Mesh, MeshSettings
 from scalelb.program.peering import Peering, Whose
+from scalelb.replication import ReplicationSettings, Replicator
 from scalelb.routing import interface as io
 from scalelb.routing.bans import Bans
 from scalelb.routing.core import Ticket
@@ -53,7 +53,7 @@
 
 
 class Member(Limiter):
-    """One life of one limiter: the core's ports, and its mesh."""
+    """One life of one limiter: the core's ports, and its replicator."""
 
     def __init__(self, flock: Flock, index: int, settings: io.Settings, life: int) -> None:
         self.flock, self.dead = flock, False
@@ -64,16 +64,16 @@
         self.name = flock.names[index]
         if flock.linked:
             drawn = random.Random(f"{flock.seed} {index} {life}")
-            settings_ = replace(flock.mesh, name=self.name)
-            mesh = Mesh(settings_, drawn.getrandbits(31), flock.now, flock.log)
+            replication = replace(flock.replication, name=self.name)
+            replicator = Replicator(replication, drawn.getrandbits(31), flock.now, flock.log)
             bans = Bans()
             bans.told(flock.infos, True)
             self.bans = bans
             core, fleet = self.core, Whose.FLEET
             clock = lambda: self.kernel.now  # noqa: E731
-            self.peering = Peering(mesh, core, bans, clock, self.banned, flock.log, fleet, self.flush)
+            self.peering = Peering(replicator, core, bans, clock, self.banned, flock.log, fleet, self.flush)
             self.drawn = drawn
-            self.kernel.after(drawn.uniform(0.0, flock.mesh.tick_ms), self.tick)
+            self.kernel.after(drawn.uniform(0.0, flock.replication.tick_ms), self.tick)
 
     def banned(self, some: list[str]) -> None:
         """Words on backends have changed."""
@@ -106,23 +106,24 @@
         super().turn(alarm)
 
     def tick(self) -> None:
-        """The mesh's turn, again and again."""
+        """The replicator's turn, again and again."""
         if self.dead or self.peering is None:
             return
         if self.stalled:
             self.backlog.append(self.tick)
             return
-        flock, mesh = self.flock, self.peering.mesh
-        for name in mesh.wanted(self.drawn.choice):
+        flock = self.flock
+        replicator = self.peering.replicator
+        for name in replicator.links_to_dial(self.drawn.choice):
             flock.dial(self, name)
         for name, message in self.peering.tick(flock.now, lambda name: True):
             flock.carry(self, name, message)
-        self.kernel.after(flock.mesh.push_ms, self.tick)
+        self.kernel.after(flock.replication.push_ms, self.tick)
 
     def flush(self) -> None:
         """Own writes go at once."""
         assert self.peering is not None
-        for name, message in self.peering.mesh.push(lambda name: True):
+        for name, message in self.peering.replicator.push(lambda name: True):
             self.flock.carry(self, name, message)
 
     def receive(self, life: Member, message: bytes) -> None:
@@ -133,7 +134,7 @@
         if self.stalled:
             self.backlog.append(lambda: self.receive(life, message))
             return
-        for name, answer in self.peering.mesh.received(life.name, orjson.loads(message), self.flock.now):
+        for name, answer in self.peering.replicator.receive(life.name, orjson.loads(message), self.flock.now):
             self.flock.carry(self, name, answer)
 
 
@@ -147,13 +148,13 @@
         seed: int = 1,
         linked: bool = True,
         delays: Delays = Delays(),
-        mesh: MeshSettings | None = None,
+        replication: ReplicationSettings | None = None,
         **more: Any,
     ) -> None:
         self.linked, self.delays = linked, delays
         self.names = [f"limiter-{n:03}" for n in range(settings.gateways)]
-        self.mesh = mesh or MeshSettings(self.names[0], tuple(self.names))
-        self.mesh = replace(self.mesh, members=tuple(self.names))
+        self.replication = replication or ReplicationSettings(self.names[0], tuple(self.names))
+        self.replication = replace(self.replication, members=tuple(self.names))
         self.meter, self.seen = Meter(settings.plans), Tally[str]()
         self.pairs: dict[tuple[str, str], Member] = {}  # (here, there): the life at the other end
         self.cuts: set[tuple[str, str]] = set()  # (from, to)
@@ -166,7 +167,7 @@
 
     @property
     def now(self) -> float:
-        """The meshes' clock."""
+        """The replicators' clock."""
         return self.kernel.now - START_MS
 
     def log(self, event: str, **fields: Any) -> None:
@@ -218,7 +219,7 @@
             del self.pairs[here, there]
             other = self.member(here)
             if other.peering is not None and not other.dead:
-                other.peering.mesh.left(there, self.now)
+                other.peering.replicator.link_down(there, self.now)
 
     def cut(self, some: set[str], others: set[str], one_way: bool = False) -> None:
         """Nothing comes from some to others; unless `one_way`, nor back."""
@@ -234,7 +235,7 @@
                 if self.pairs.pop(pair, None) is not None:
                     other = self.member(pair[0])
                     if other.peering is not None:
-                        other.peering.mesh.left(pair[1], self.now)
+                        other.peering.replicator.link_down(pair[1], self.now)
         self.cuts.clear()
 
     # Links
@@ -247,8 +248,8 @@
         if (member.name, name) in self.pairs or member.peering is None or other.peering is None:
             return
         self.pairs[member.name, name], self.pairs[name, member.name] = other, member
-        member.peering.mesh.joined(name, self.now)
-        other.peering.mesh.joined(member.name, self.now)
+        member.peering.replicator.link_up(name, self.now)
+        other.peering.replicator.link_up(member.name, self.now)
 
     def carry(self, member: Member, name: str, message: Any) -> None:
         """One message, late by a drawn time, in the order of the link."""
@@ -273,5 +274,5 @@
     def same(self) -> bool:
         """Whether all copies of all chains are equal."""
         members: list[Any] = [m for m in self.limiters if not getattr(m, "dead", True)]
-        replicas = [m.peering.mesh.replica for m in members]
-        return all(replica.same(replicas[0]) for replica in replicas[1:])
+        replicas = [m.peering.replicator.replica for m in members]
+        return all(replica.has_same_entries(replicas[0]) for replica in replicas[1:])
--- a/scalelb/lab/snapshot_transfer.py
+++ b/scalelb/lab/snapshot_transfer.py
@@ -1,8 +1,9 @@
-"""A limiter that returns to a peer which holds what its former life wrote, over a real link.
+"""A limiter that returns to a peer which holds what its earlier incarnation wrote, over a real link.
 
-`python -m scalelb.lab.snapshot_transfer [ACCOUNTS]`: this process is the peer (mesh and links, no limiter);
-the real program is started beside stand-ins and copies its former life's accounts back. Prints when it had
-settled (ms of its own), its processor time and memory, and those of a start with nothing to copy beside it.
+`python -m scalelb.lab.snapshot_transfer [ACCOUNTS]`: this process is the peer (replicator and links, no
+limiter); the real program is started beside stand-ins and copies its earlier incarnation's accounts back.
+Prints when it had settled (ms of its own), its processor time and memory, and those of a start with nothing
+to copy beside it.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from scalelb.lab.experiment import CLASSES, Experiment, Fleet, Variant
 from scalelb.lab.stage import toml_words
 from scalelb.lab.traffic import Clients
-from scalelb.peers import Life, Mesh, MeshSettings
+from scalelb.replication import Incarnation, ReplicationSettings, Replicator
 from scalelb.transport.peerlink import PeerLinks
 
 NAMES = ("n0", "n1")
@@ -48,25 +49,27 @@
 
     def __init__(self, reactor: Any, accounts: int, out: Path) -> None:
         self.reactor, self.accounts, self.out = reactor, accounts, out
-        self.mesh = Mesh(MeshSettings("n1", NAMES, alone_ms=0.0), 3, self.now(), lambda *a, **k: None)
+        self.replicator = Replicator(
+            ReplicationSettings("n1", NAMES, settle_alone_after_ms=0.0), 3, self.now(), lambda *a, **k: None
+        )
         self.port = 0
         self.found: dict[str, Any] = {"accounts": accounts}
         self.started: list[Any] = []
         reactor.callLater(LIMIT_S, self.end)
 
     def now(self) -> float:
-        """The mesh's clock."""
+        """The replicator's clock."""
         return 1000.0 * float(self.reactor.seconds())
 
     def begin(self) -> None:
-        """Settle alone, hold the chain of a former life, start the stand-ins."""
-        self.mesh.tick(self.now() + 1.0, lambda name: True)
-        chain = self.mesh.replica.chain(Life("n0", 1, 5))
-        assert self.mesh.settled and chain is not None
+        """Settle alone, hold the log of an earlier incarnation, start the stand-ins."""
+        self.replicator.tick(self.now() + 1.0, lambda name: True)
+        log = self.replicator.replica.log_of(Incarnation("n0", 1, 5))
+        assert self.replicator.is_settled and log is not None
         at = round(self.reactor.seconds() * 1000.0)
         for number in range(self.accounts):
             account = [1.25, 0.5, 12.5, 42.0, 7, at, at + 120_000]
-            chain.write(f"u:{number:016x}", account, 0.0)
+            log.write(f"u:{number:016x}", account, 0.0)
         self.run(["scalelb.lab.standins"], {}, self.stand_in)
         decks = [{"name": "deck-0", "cores": 4, "speed": 1.0, "room": 50}]
         work = {str(kind["name"]): 10.0 for kind in CLASSES}
@@ -95,8 +98,8 @@
         (self.out / "n0.json").write_bytes(orjson.dumps(config))
         self.links = PeerLinks(
             self.reactor, "n1", {"n0": "127.0.0.1:1"}, lambda *a, **k: None,
-            lambda name: self.mesh.joined(name, self.now()), lambda name: self.mesh.left(name, self.now()),
-            self.message,
+            lambda name: self.replicator.link_up(name, self.now()),
+            lambda name: self.replicator.link_down(name, self.now()), self.message,
         )  # fmt: skip
         self.port = self.reactor.listenTCP(0, self.links, 16, "127.0.0.1").getHost().port
         members = {"members": {"n0": "127.0.0.1:0", "n1": f"127.0.0.1:{self.port}"}}
@@ -107,14 +110,16 @@
         self.run(["scalelb.program"], more, self.heard)
 
     def tick(self) -> None:
-        """The peer's mesh."""
-        for name, message in self.mesh.push(self.links.ready) + self.mesh.tick(self.now(), self.links.ready):
+        """The peer's replicator."""
+        for name, message in self.replicator.push(self.links.ready) + self.replicator.tick(
+            self.now(), self.links.ready
+        ):
             self.links.send(name, message)
         self.reactor.callLater(0.05, self.tick)
 
     def message(self, name: str, message: Any) -> None:
         """The program's messages."""
-        for to, answer in self.mesh.received(name, message, self.now()):
+        for to, answer in self.replicator.receive(name, message, self.now()):
             self.links.send(to, answer)
 
     def heard(self, said: dict[str, Any]) -> None:
--- a/scalelb/program/idempotency_records.py
+++ b/scalelb/program/idempotency_records.py
@@ -13,7 +13,7 @@
 from math import isfinite
 from typing import Any
 
-from scalelb.peers import Life
+from scalelb.replication import Incarnation
 from scalelb.routing import interface as io
 from scalelb.routing.core import Core
 from scalelb.routing.state import Request
@@ -35,7 +35,9 @@
         """`write` takes the chain's key and value; `flush` sends what was written at once."""
         self.core, self.clock, self.write, self.flush = core, clock, write, flush
         self.own: dict[str, float] = {}  # until when; oldest first
-        self.heard: dict[str, tuple[float, float, Life, io.ServerInfo]] = {}  # sent, until, by whom, where
+        self.heard: dict[
+            str, tuple[float, float, Incarnation, io.ServerInfo]
+        ] = {}  # sent, until, by whom, where
         core.replicas = self
 
     def ran(self, customer: str, key: str) -> tuple[io.ServerInfo, float] | None:
@@ -68,7 +70,7 @@
         for name in [n for n, told in list(self.heard.items())[:ENDED] if told[1] <= now]:
             del self.heard[name]
 
-    def entered(self, life: Life, name: str, value: Any) -> None:
+    def entered(self, life: Incarnation, name: str, value: Any) -> None:
         """A peer's entry, or its end."""
         known = self.heard.get(name)
         if value is None:
--- a/scalelb/program/peer_connections.py
+++ b/scalelb/program/peer_connections.py
@@ -1,4 +1,4 @@
-"""Joins a limiter's mesh to its sockets: loaded only where there are links."""
+"""Joins a limiter's replicator to its sockets: loaded only where there are links."""
 
 from __future__ import annotations
 
@@ -6,10 +6,9 @@
 from random import SystemRandom
 from typing import TYPE_CHECKING, Any
 
-from scalelb.peers import Mesh, MeshSettings
-from scalelb.peers.mesh import MalformedMessageError
 from scalelb.program.config import PeerSettings
 from scalelb.program.peering import Peering, Whose
+from scalelb.replication import MalformedFrameError, ReplicationSettings, Replicator
 from scalelb.transport.peerlink import PeerLinks
 from scalelb.transport.stream import host_port
 
@@ -21,24 +20,24 @@
 
 
 class PeerConnections:
-    """One limiter's links, mesh and peering."""
+    """One limiter's links, replicator and peering."""
 
     def __init__(self, program: Program, settings: PeerSettings) -> None:
         self.program, self.settings, self.reactor = program, settings, program.reactor
         config = program.config
         self.random = SystemRandom()  # a life's nonce must differ from any other's, whatever the seeds are
-        mesh = MeshSettings(
+        replication = ReplicationSettings(
             name=config.name,
             members=tuple(settings.members),
             tick_ms=settings.tick_ms,
-            beat_ms=settings.beat_ms,
-            suspect_ms=settings.suspect_ms,
-            alone_ms=settings.alone_ms,
+            heartbeat_ms=settings.beat_ms,
+            suspect_after_ms=settings.suspect_ms,
+            settle_alone_after_ms=settings.alone_ms,
         )
-        self.mesh = Mesh(mesh, self.random.getrandbits(31), self.now(), program.log)
+        self.replicator = Replicator(replication, self.random.getrandbits(31), self.now(), program.log)
         loop, whose = program.loop, Whose.FLEET if settings.fleet_bans else Whose.OWN
         self.peering = Peering(
-            self.mesh, loop.core, loop.bans, loop.clock, loop.banned, program.log, whose, self.flush
+            self.replicator, loop.core, loop.bans, loop.clock, loop.banned, program.log, whose, self.flush
         )  # fmt: skip
         others = {name: at for name, at in settings.members.items() if name != config.name}
         self.links = PeerLinks(
@@ -49,7 +48,7 @@
         self.cpu = 0.0  # seconds that the links have taken
 
     def now(self) -> float:
-        """The mesh's clock: it only goes on."""
+        """The replicator's clock: it only goes on."""
         return 1000.0 * float(self.reactor.seconds())
 
     def listen(self) -> Any:
@@ -68,16 +67,16 @@
         if self.ticks % SWEEPS == 0:
             self.links.sweep()
             self.tell_quiet()
-        for name in self.mesh.wanted(self.random.choice):
+        for name in self.replicator.links_to_dial(self.random.choice):
             self.links.dial(name)
         for name, message in self.peering.tick(self.now(), self.links.ready):
             self.links.send(name, message)
         self.cpu += time.thread_time() - began
-        self.reactor.callLater(self.mesh.settings.push_ms / 1000, self.tick)
+        self.reactor.callLater(self.replicator.settings.push_ms / 1000, self.tick)
 
     def flush(self) -> None:
         """Send own writes now."""
-        for name, message in self.mesh.push(self.links.ready):
+        for name, message in self.replicator.push(self.links.ready):
             self.links.send(name, message)
 
     def tell_quiet(self) -> None:
@@ -90,19 +89,19 @@
 
     def joined(self, name: str) -> None:
         """A link is up."""
-        self.mesh.joined(name, self.now())
+        self.replicator.link_up(name, self.now())
 
     def left(self, name: str) -> None:
         """A link has ended."""
-        self.mesh.left(name, self.now())
+        self.replicator.link_down(name, self.now())
 
     def message(self, name: str, message: Any) -> None:
         """A peer's message; one that can't be ends its link."""
         began = time.thread_time()
         try:
-            answers = self.mesh.received(name, message, self.now())
-        except MalformedMessageError:
-            self.mesh.dropped += 1
+            answers = self.replicator.receive(name, message, self.now())
+        except MalformedFrameError:
+            self.replicator.rejected_frames += 1
             raise
         for to, answer in answers:
             self.links.send(to, answer)
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -1,4 +1,4 @@
-"""What limiters tell each other of their work, and what each makes of it.  No I/O: the mesh carries it.
+"""What limiters tell each other of their work, and what each makes of it.  No I/O: the replicator carries it.
 
 Every limiter writes only what is its own: the accounts of its customers, what it found of backends, staff's
 words that it was told. So nothing has to be agreed upon, and a copy can only be old, never wrong. What is
@@ -25,9 +25,9 @@
 from zlib import crc32
 
 from scalelb.fairness.records import Record
-from scalelb.peers import Life, Mesh
 from scalelb.program.idempotency_records import FAR_MS, KEYED
 from scalelb.program.idempotency_records import IdempotencyRecords as Tries
+from scalelb.replication import Incarnation, OutgoingFrame, Replicator
 from scalelb.routing import health
 from scalelb.routing.bans import Bans, Word
 from scalelb.routing.core import Core
@@ -55,11 +55,11 @@
 
 
 class Peering:
-    """Between one limiter's core and the mesh."""
+    """Between one limiter's core and the replicator."""
 
     def __init__(
         self,
-        mesh: Mesh,
+        replicator: Replicator,
         core: Core,
         bans: Bans,
         clock: Callable[[], float],
@@ -68,11 +68,11 @@
         whose: Whose = Whose.OWN,
         flush: Callable[[], None] = lambda: None,
     ) -> None:
-        self.mesh, self.core, self.bans, self.clock = mesh, core, bans, clock
+        self.replicator, self.core, self.bans, self.clock = replicator, core, bans, clock
         self.banned, self.log, self.whose = banned, log, whose
         self.since = -inf  # what was seen after that is to be told
         self.looked = self.ticked = -inf
-        self.written = 0.0  # the mesh's time
+        self.written = 0.0  # the replicator's time
         self.close_at = inf  # when all that former lives told of is over
         self.published: dict[str, float] = {}  # accounts, when their stores are full again
         self.gone: dict[str, float] = {}  # backends that have left the list, when
@@ -81,33 +81,37 @@
         self.agreed: dict[str, str] = {}  # bad ones, and who tries each for all
         self.trusted: dict[str, float] = {}  # those that this limiter has found good again, when
         self.relied: dict[str, float] = {}  # those that another has, whose word was taken, when
-        self.said: dict[str, set[Life]] = {}  # who says what of a backend
+        self.said: dict[str, set[Incarnation]] = {}  # who says what of a backend
         self.tries = Tries(core, clock, self.write, flush)
-        mesh.on_settled, mesh.on_closed, mesh.on_entry = self.settled, self.closed, self.entered
+        replicator.on_settled, replicator.on_closed, replicator.on_entry = (
+            self.settled,
+            self.closed,
+            self.entered,
+        )
         # Until it has settled nobody gets a fresh share: a former life may have granted it.
         core.gateway.records.given_way_until = inf
 
     def write(self, key: str, value: Any) -> None:
         """An own entry, or its end."""
-        self.mesh.write(key, value, self.written)
+        self.replicator.write(key, value, self.written)
 
-    def tick(self, now: float, ready: Callable[[str], bool]) -> list[tuple[str, Any]]:
-        """What is to be said, each `push_ms`; `now` is the mesh's time."""
+    def tick(self, now: float, ready: Callable[[str], bool]) -> list[OutgoingFrame]:
+        """What is to be said, each `push_ms`; `now` is the replicator's time."""
         at, self.written = self.clock(), now
         self.tries.tick(at)
-        if self.mesh.settled and not self.mesh.closed:
+        if self.replicator.is_settled and not self.replicator.is_closed:
             self._publish_accounts(at, now)
             if at >= self.close_at:
                 self.close_at = inf
-                self.mesh.close(now)
+                self.replicator.close_earlier_incarnations(now)
             if at - self.looked >= LOOK_MS:
                 self.looked = at
                 self._publish_backends(at, now)
                 self._heed(at)
-        out = self.mesh.push(ready)
-        if now - self.ticked >= self.mesh.settings.tick_ms - 1.0:
+        out = self.replicator.push(ready)
+        if now - self.ticked >= self.replicator.settings.tick_ms - 1.0:
             self.ticked = now
-            out += self.mesh.tick(now, ready)
+            out += self.replicator.tick(now, ready)
         return out
 
     # What is told
@@ -124,7 +128,7 @@
                 self._publish(c, at, now)
         for name in [n for n, full_at in islice(self.published.items(), ENDED) if full_at <= at]:
             del self.published[name]
-            self.mesh.write("u:" + name, None, now)
+            self.replicator.write("u:" + name, None, now)
 
     def _publish(self, c: Customer, at: float, now: float) -> None:
         gateway = self.core.gateway
@@ -139,12 +143,14 @@
         self.published[c.name] = record.full_at
         numbers = [record.balance, record.unreported, record.store, record.total]
         told = [round(number, 3) for number in numbers]
-        self.mesh.write("u:" + c.name, [*told, record.window, round(record.at), round(record.full_at)], now)
+        self.replicator.write(
+            "u:" + c.name, [*told, record.window, round(record.at), round(record.full_at)], now
+        )
 
     def _publish_backends(self, at: float, now: float) -> None:
         gateway = self.core.gateway
         lasts = health.memory(gateway.gap, len(gateway.servers))
-        own = self.mesh.own().entries
+        own = self.replicator.own_log().entries
         for name, server in gateway.servers.items():
             key = "b:" + name
             said = key in own and own[key].value is not None
@@ -152,31 +158,31 @@
             # What is agreed on stays said until it was tried: else all would find it out anew.
             bad |= said and name in self.agreed and name not in self.relied and server.goods < GOODS
             if bad != said:
-                self.mesh.write(key, [round(server.info.started_ms)] if bad else None, now)
-            if self.agreed.get(name) == self.mesh.life.name and server.goods >= GOODS:
+                self.replicator.write(key, [round(server.info.started_ms)] if bad else None, now)
+            if self.agreed.get(name) == self.replicator.incarnation.name and server.goods >= GOODS:
                 self.trusted[name] = at
-                self.mesh.write("t:" + name, [round(server.info.started_ms)], now)
+                self.replicator.write("t:" + name, [round(server.info.started_ms)], now)
         for name, when in list(self.trusted.items()):
             goods = gateway.servers[name].goods if name in gateway.servers else 0
             if at - when > TRUST_MS or goods < GOODS:
                 del self.trusted[name]
-                self.mesh.write("t:" + name, None, now)
+                self.replicator.write("t:" + name, None, now)
         listed = set(self.bans.listed)
         for name in self.listed - listed:
             self.gone[name] = at
-            self.mesh.write("g:" + name, [], now)
+            self.replicator.write("g:" + name, [], now)
         for name in [n for n, when in self.gone.items() if at - when > GONE_MS or n in listed]:
             del self.gone[name]
-            self.mesh.write("g:" + name, None, now)
+            self.replicator.write("g:" + name, None, now)
         for key in [k for k, e in own.items() if k[:2] == "b:" and e.value is not None]:
             if key[2:] not in listed:
-                self.mesh.write(key, None, now)
+                self.replicator.write(key, None, now)
         self.listed = listed
 
     def say(self, server: str, now: float) -> None:
         """Staff's word on a backend has changed."""
         if (word := self.bans.words.get(server)) is not None:
-            self.mesh.write("x:" + server, [round(word.at, 3), word.out], now)
+            self.replicator.write("x:" + server, [round(word.at, 3), word.out], now)
 
     # What comes
 
@@ -184,8 +190,8 @@
         """All that peers know of this limiter's former lives is here: go on from there."""
         records, now, taken = self.core.gateway.records, self.clock(), 0
         self.close_at = now
-        for life in self.mesh.former():
-            for key, value in self.mesh.replica.chains[life].live():
+        for life in self.replicator.earlier_incarnations():
+            for key, value in self.replicator.replica.logs[life].live_entries():
                 if key[:2] == "u:" and (record := read_account(value, now)) is not None:
                     self.close_at = max(self.close_at, min(record.full_at, now + CLOSE_MS))
                     name, old = key[2:], records.left.get(key[2:])
@@ -197,26 +203,30 @@
                 elif key[:2] == KEYED:
                     self.close_at = max(self.close_at, now + FAR_MS)
         records.given_way_until = 0.0
-        self.log("recalled", accounts=taken, lives=len(self.mesh.former()))
+        self.log("recalled", accounts=taken, lives=len(self.replicator.earlier_incarnations()))
 
     def closed(self) -> None:
         """A newer life of this name is at work: what is on hand is its own, and nothing new is granted."""
         take_out(self.core.gateway, self.clock())
 
-    def entered(self, life: Life, key: str, value: Any) -> None:
+    def entered(self, life: Incarnation, key: str, value: Any) -> None:
         """A peer's entry is new here, or has ended."""
         if key[:2] == KEYED:
             self.tries.entered(life, key[2:], value)
-        elif key[:2] in OF_BACKENDS and life.name != self.mesh.life.name:
+        elif key[:2] in OF_BACKENDS and life.name != self.replicator.incarnation.name:
             self._heard(life, key, value is not None)
-        if key[:2] != "x:" or value is None or (life.name != self.mesh.life.name and self.whose is Whose.OWN):
+        if (
+            key[:2] != "x:"
+            or value is None
+            or (life.name != self.replicator.incarnation.name and self.whose is Whose.OWN)
+        ):
             return
         match value:
             case [int() | float() as at, bool(out)] if not isinstance(at, bool) and 0 <= at < 1e15:
                 if self.bans.join([(key[2:], Word(float(at), out))]):
                     self.banned([key[2:]])
 
-    def _heard(self, life: Life, key: str, says: bool) -> None:
+    def _heard(self, life: Incarnation, key: str, says: bool) -> None:
         """A peer's word on a backend, or its end.  Guards the memory: no more than are listed."""
         if says and (key in self.said or len(self.said) < 3 * len(self.bans.listed)):
             self.said.setdefault(key, set()).add(life)
@@ -228,9 +238,10 @@
     def _heed(self, at: float) -> None:
         """What peers say of backends.  Two have to say so, of few backends: one wrong peer alone takes no
         healthy backend out, and where most look bad it is not they that are."""
-        mesh, servers, listed = self.mesh, self.core.gateway.servers, self.bans.listed
-        own = {key for key, entry in mesh.own().entries.items() if entry.value is not None}
-        alive = [] if mesh.alone(self.written) else mesh.alive(self.written)
+        replicator = self.replicator
+        servers, listed = self.core.gateway.servers, self.bans.listed
+        own = {key for key, entry in replicator.own_log().entries.items() if entry.value is not None}
+        alive = [] if replicator.is_isolated(self.written) else replicator.present_members(self.written)
         bad = {n: len(self._voices("b:" + n)) + ("b:" + n in own) for n in servers}
         agreed = sorted((n for n in bad if bad[n] >= VOICES), key=lambda n: (-bad[n], n))
         most = max(1, int(PART * len(servers)))
@@ -238,7 +249,7 @@
         self.agreed = {n: homes(n, alive)[0] for n in agreed}
         for name, trier in self.agreed.items():
             server = servers[name]
-            if trier == mesh.life.name:
+            if trier == replicator.incarnation.name:
                 continue  # tries it by its own marks, as one limiter does
             if trier not in self._voices("t:" + name):
                 server.down = max(server.down, at + HOLD_MS)
@@ -257,26 +268,32 @@
 
     def _voices(self, key: str) -> set[str]:
         """Which members say something; this one's own word is not among them."""
-        newest = self.mesh.replica.newest
+        newest = self.replicator.replica.newest_incarnation
         return {life.name for life in self.said.get(key, ()) if newest(life.name) == life}
 
     def digest(self) -> str:
-        """What is held here, in a few letters: a chain's version says what is in it."""
-        held = sorted(self.mesh.replica.digest().items())
-        return f"{crc32(repr(held).encode()):08x}"
+        """What is held here, in 8 hexadecimal digits: a log's version says what is in it."""
+        versions = sorted(self.replicator.replica.versions().items())
+        # Operators compare it with that of limiters of another release: the text below must not change.
+        held = [
+            f"(Life(name={name!r}, number={number!r}, nonce={nonce!r}), {version!r})"
+            for (name, number, nonce), version in versions
+        ]
+        return f"{crc32(('[' + ', '.join(held) + ']').encode()):08x}"
 
     def told(self, now: float) -> dict[str, Any]:
         """For the log and for staff."""
-        mesh = self.mesh
-        states = {name: mesh.state(name, now).value for name in mesh.members if name != mesh.life.name}
+        replicator = self.replicator
+        others = [name for name in replicator.topology.members if name != replicator.incarnation.name]
+        states = {name: replicator.member_state(name, now).value for name in others}
         return {
-            "life": mesh.life.number,
-            "settled": mesh.settled,
-            "closed": mesh.closed,
-            "alone": mesh.alone(now),
-            "links": len(mesh.links),
+            "life": replicator.incarnation.number,
+            "settled": replicator.is_settled,
+            "closed": replicator.is_closed,
+            "alone": replicator.is_isolated(now),
+            "links": len(replicator.links),
             "not_alive": {name: state for name, state in states.items() if state != "alive"},
-            "entries": sum(len(chain.entries) for chain in mesh.replica.chains.values()),
+            "entries": sum(len(chain.entries) for chain in replicator.replica.logs.values()),
         }
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -21,10 +21,13 @@
     "protocol": {"protocol"},
     "transport": {"routing", "protocol", "transport"},
     "middleware": {"fairness", "routing", "protocol", "middleware"},
-    "peers": {"peers"},
-    "program": {"consensus", "fairness", "overload", "peers", "routing", "protocol", "transport", "program"},
+    "replication": {"replication"},
+    "program": {
+        "consensus", "fairness", "overload", "replication", "routing", "protocol", "transport", "program",
+    },
     "lab": {
-        "consensus", "fairness", "overload", "peers", "routing", "protocol", "transport", "program", "lab",
+        "consensus", "fairness", "overload", "replication", "routing", "protocol", "transport", "program",
+        "lab",
     },
     "__main__": {"lab"},
     "wirehost": {"routing", "program", "wirehost"},
@@ -37,7 +40,7 @@
     "protocol": {"twisted", "socket"},
     "consensus": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "overload": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
-    "peers": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
+    "replication": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
 }
 
 
@@ -64,8 +67,9 @@
 
 def test_the_program_does_without_the_extras_until_they_are_configured() -> None:
     extras = (
-        "grpc google.protobuf starlette numpy pyarrow click scalelb.lab scalelb.peers scalelb.consensus "
-        "scalelb.program.peer_connections scalelb.program.peering scalelb.transport.peerlink asyncio"
+        "grpc google.protobuf starlette numpy pyarrow click scalelb.lab scalelb.replication "
+        "scalelb.consensus scalelb.program.peer_connections scalelb.program.peering "
+        "scalelb.transport.peerlink asyncio"
     )
     code = (
         "import sys, scalelb.program.__main__, scalelb.wirehost\n"
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -8,7 +8,7 @@
 import pytest
 from scenario import Net
 
-from scalelb.peers.mesh import MalformedMessageError
+from scalelb.replication import MalformedFrameError
 from scalelb.transport.peerlink import BYTES_S, HELLO_S, SHUN_S, UNHEARD_S, WRONG, PeerLinks
 
 
@@ -37,7 +37,7 @@
 
     def message(self, name: str, message: Any) -> None:
         if message == "wrong":
-            raise MalformedMessageError("wrong")
+            raise MalformedFrameError("wrong")
         self.told.append((name, message))
 
     def come(self, *messages: Any) -> Any:
--- a/tests/test_peers.py
+++ b/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Replicated state in virtual time: chains, the mesh, and what limiters make of it, under kills and cuts."""
+"""Replicated state in virtual time: logs, gossip, and what limiters make of it, under kills and cuts."""
 
 from __future__ import annotations
 
@@ -16,10 +16,20 @@
 from scalelb.lab.flock import Flock
 from scalelb.lab.model import START_MS
 from scalelb.lab.traffic import Arrival, Clients
-from scalelb.peers import Chain, Entry, Mesh, MeshSettings, State
-from scalelb.peers.chain import TOMB_MS
-from scalelb.peers.mesh import BUDGET, DOWN, MEAN_BYTES, PACE, MalformedMessageError
 from scalelb.program.peering import read_account
+from scalelb.replication import (
+    Entry,
+    MalformedFrameError,
+    MemberState,
+    OutgoingFrame,
+    ReplicatedLog,
+    ReplicationSettings,
+    Replicator,
+)
+from scalelb.replication.frames import DELTA_BUDGET_BYTES, MEAN_ENTRY_BYTES
+from scalelb.replication.gossip import COPY_BYTES_PER_S
+from scalelb.replication.membership import DOWN_KEY_PREFIX
+from scalelb.replication.replicated_log import TOMBSTONE_MS
 from scalelb.routing import interface as io
 
 PLAN = io.Plan(rate=4.0, burst=16.0)
@@ -31,29 +41,29 @@
 writes = st.lists(st.tuples(st.sampled_from("abcde"), st.one_of(st.none(), st.integers(0, 9))), max_size=30)
 
 
-def copy_of(owner: Chain, upto: int) -> Chain:
+def copy_of(owner: ReplicatedLog, upto: int) -> ReplicatedLog:
     """A copy that has heard all up to a version; what was written over since is not in it."""
-    copy = Chain()
-    some = [(key, entry) for key, entry in owner.since(0) if entry.version <= upto]
-    copy.join(0, some[-1][1].version if some else 0, 0, some, 0.0)
+    copy = ReplicatedLog()
+    some = [(key, entry) for key, entry in owner.entries_after(0) if entry.version <= upto]
+    copy.merge(0, some[-1][1].version if some else 0, 0, some, 0.0)
     return copy
 
 
 @given(writes, st.lists(st.integers(0, 40), min_size=1, max_size=6), st.randoms(use_true_random=False))
 def test_copies_join_in_any_order_and_more_than_once(some: Any, cuts: list[int], rng: random.Random) -> None:
-    owner, told = Chain(), list[tuple[int, int, list[tuple[str, Entry]]]]()
+    owner, told = ReplicatedLog(), list[tuple[int, int, list[tuple[str, Entry]]]]()
     for place, (key, value) in enumerate(some):
         owner.write(key, value, float(place))
         if place in cuts:
             begins = rng.randrange(owner.version + 1)
-            told.append((begins, owner.version, list(owner.since(begins))))
-    told.append((0, owner.version, list(owner.since(0))))
+            told.append((begins, owner.version, list(owner.entries_after(begins))))
+    told.append((0, owner.version, list(owner.entries_after(0))))
     order = [*told, *told]
     rng.shuffle(order)
-    copy = Chain()
+    copy = ReplicatedLog()
     for begins, upto, news in order:
         before = copy.version
-        missing = copy.join(begins, upto, 0, news, 0.0) is None
+        missing = copy.merge(begins, upto, 0, news, 0.0) is None
         assert missing == (begins > before)
         assert copy.version >= before  # it only goes on
     assert copy.entries == owner.entries
@@ -61,224 +71,243 @@
 
 
 @given(writes, st.integers(0, 30))
-def test_an_end_outlives_every_copy_or_the_copy_is_made_anew(some: Any, upto: int) -> None:
-    owner = Chain()
+def test_a_deletion_outlives_every_copy_or_the_copy_is_sent_in_full(some: Any, upto: int) -> None:
+    owner = ReplicatedLog()
     for key, value in some:
         owner.write(key, value, 0.0)
     copy = copy_of(owner, upto)
-    owner.sweep(TOMB_MS + 1.0)
+    owner.drop_old_tombstones(TOMBSTONE_MS + 1.0)
     if copy.version < owner.floor:
-        copy.begin_copy(owner.floor)
-    copy.join(copy.version, owner.version, owner.floor, list(owner.since(copy.version)), 0.0)
-    assert dict(copy.live()) == dict(owner.live())
-    assert not copy.ended
+        copy.begin_full_copy(owner.floor)
+    copy.merge(copy.version, owner.version, owner.floor, list(owner.entries_after(copy.version)), 0.0)
+    assert dict(copy.live_entries()) == dict(owner.live_entries())
+    assert not copy.tombstoned_at
 
 
-class Talk:
-    """Some meshes, their links, and messages that can be held back."""
+class Cluster:
+    """Some replicators, their links, and frames that can be held back."""
 
     def __init__(self, count: int, **fields: Any) -> None:
         self.names, self.now = [f"n{n}" for n in range(count)], 0.0
-        self.said: list[dict[str, Any]] = []
-        self.meshes = {name: self.make(name, place, **fields) for place, name in enumerate(self.names)}
+        self.logged: list[dict[str, Any]] = []
+        self.replicators = {name: self.make(name, place, **fields) for place, name in enumerate(self.names)}
         self.cut: Callable[[str, str], bool] = lambda a, b: False
 
-    def make(self, name: str, nonce: int, **fields: Any) -> Mesh:
-        told = MeshSettings(name, tuple(self.names), **fields)
-        return Mesh(told, nonce, self.now, lambda event, **more: self.said.append({"event": event, **more}))
+    def make(self, name: str, nonce: int, **fields: Any) -> Replicator:
+        told = ReplicationSettings(name, tuple(self.names), **fields)
+        return Replicator(
+            told, nonce, self.now, lambda event, **more: self.logged.append({"event": event, **more})
+        )
 
     def link(self, a: str, b: str) -> None:
         for here, there in ((a, b), (b, a)):
-            if there not in self.meshes[here].links:
-                self.meshes[here].joined(there, self.now)
+            if there not in self.replicators[here].links:
+                self.replicators[here].link_up(there, self.now)
 
     def run(self, ms: float, step: float = 50.0) -> None:
         end = self.now + ms
         while self.now < end:
             self.now += step
-            for name, mesh in list(self.meshes.items()):
-                for other in mesh.wanted(lambda some: some[0]):
-                    if other in self.meshes and not (self.cut(name, other) or self.cut(other, name)):
+            for name, replicator in list(self.replicators.items()):
+                for other in replicator.links_to_dial(lambda some: some[0]):
+                    if other in self.replicators and not (self.cut(name, other) or self.cut(other, name)):
                         self.link(name, other)
-                self.give(name, mesh.push(lambda n: True) + mesh.tick(self.now, lambda n: True))
+                self.deliver(
+                    name, replicator.push(lambda n: True) + replicator.tick(self.now, lambda n: True)
+                )
 
-    def give(self, name: str, messages: list[tuple[str, Any]]) -> None:
-        waiting = deque((name, *told) for told in messages)
+    def deliver(self, name: str, frames: list[OutgoingFrame]) -> None:
+        waiting = deque((name, *told) for told in frames)
         while waiting:
             source, to, message = waiting.popleft()
-            if to in self.meshes and not self.cut(source, to):
-                answers = self.meshes[to].received(source, message, self.now)
+            if to in self.replicators and not self.cut(source, to):
+                answers = self.replicators[to].receive(source, message, self.now)
                 waiting += [(to, *told) for told in answers]
 
 
 @pytest.mark.parametrize("count", [2, 3, 8, 40, 200])
 def test_each_pair_is_linked_once_and_links_grow_with_the_logarithm(count: int) -> None:
     names = tuple(f"n{n:03}" for n in range(count))
-    meshes = [Mesh(MeshSettings(name, names), 1, 0.0, lambda event, **more: None) for name in names]
-    pairs = [(mesh.settings.name, other) for mesh in meshes for other in mesh.partners()]
+    replicators = [
+        Replicator(ReplicationSettings(name, names), 1, 0.0, lambda event, **more: None) for name in names
+    ]
+    pairs = [
+        (replicator.settings.name, other)
+        for replicator in replicators
+        for other in replicator.topology.dialled
+    ]
     assert len({frozenset(pair) for pair in pairs}) == len(pairs)
-    assert all(0 < len(mesh.neighbours()) <= 2 * count.bit_length() for mesh in meshes)
+    assert all(
+        0 < len(replicator.topology.neighbours) <= 2 * count.bit_length() for replicator in replicators
+    )
     seen, new = {names[0]}, [names[0]]
     while new:
-        new = [o for name in new for o in meshes[names.index(name)].neighbours() if o not in seen]
+        new = [o for name in new for o in replicators[names.index(name)].topology.neighbours if o not in seen]
         seen.update(new)
     assert seen == set(names)
 
 
-def test_a_life_settles_with_what_a_settled_peer_had_or_alone() -> None:
-    talk = Talk(3)
-    talk.run(2500)
-    assert all(mesh.settled for mesh in talk.meshes.values())
+def test_an_incarnation_settles_with_what_a_settled_peer_held_or_alone() -> None:
+    cluster = Cluster(3)
+    cluster.run(2500)
+    assert all(replicator.is_settled for replicator in cluster.replicators.values())
     for number in range(2000):
-        talk.meshes["n0"].write(f"k{number}", "x" * 100, talk.now)
-    talk.run(1000)
-    del talk.meshes["n1"]
-    for other in talk.meshes.values():
-        other.left("n1", talk.now)
-    talk.meshes["n1"] = talk.make("n1", 77)
-    assert not talk.meshes["n1"].settled
-    talk.run(1500)
-    new = talk.meshes["n1"]
-    assert (new.settled, new.life.number) == (True, 2)
-    assert new.replica.same(talk.meshes["n0"].replica)
-    assert len(new.replica.chains[talk.meshes["n0"].life].entries) > 2000
-
-
-def test_a_copy_is_paced_and_goes_on_after_a_link_that_broke_in_it() -> None:
+        cluster.replicators["n0"].write(f"k{number}", "x" * 100, cluster.now)
+    cluster.run(1000)
+    del cluster.replicators["n1"]
+    for other in cluster.replicators.values():
+        other.link_down("n1", cluster.now)
+    cluster.replicators["n1"] = cluster.make("n1", 77)
+    assert not cluster.replicators["n1"].is_settled
+    cluster.run(1500)
+    new = cluster.replicators["n1"]
+    assert (new.is_settled, new.incarnation.number) == (True, 2)
+    assert new.replica.has_same_entries(cluster.replicators["n0"].replica)
+    assert len(new.replica.logs[cluster.replicators["n0"].incarnation].entries) > 2000
+
+
+def test_a_full_copy_is_paced_and_goes_on_after_its_link_broke() -> None:
     # Guards the quotas: a real link was hung up on at 2 MiB in a second, and the new life settled alone with
     # 78,064 of 100,000 accounts.
-    talk = Talk(2)
-    talk.run(2500)
+    cluster = Cluster(2)
+    cluster.run(2500)
     for number in range(40_000):
-        talk.meshes["n0"].write(f"k{number}", "x" * 60, talk.now)
-    talk.meshes["n0"].left("n1", talk.now)
-    new = talk.meshes["n1"] = talk.make("n1", 77)
+        cluster.replicators["n0"].write(f"k{number}", "x" * 60, cluster.now)
+    cluster.replicators["n0"].link_down("n1", cluster.now)
+    new = cluster.replicators["n1"] = cluster.make("n1", 77)
 
     def held() -> int:
-        return len(new.replica.chains[talk.meshes["n0"].life].entries)
-
-    talk.run(800)
-    assert 0 < held() * MEAN_BYTES < 1.6 * PACE  # each tick brings one message more
-    talk.cut = lambda a, b: True
-    for mesh in talk.meshes.values():
-        mesh.links.clear()
-    talk.run(1500)
-    assert not new.settled
-    talk.cut = lambda a, b: False
-    talk.run(4000)
-    assert (new.settled, new.life.number) == (True, 2)
+        return len(new.replica.logs[cluster.replicators["n0"].incarnation].entries)
+
+    cluster.run(800)
+    assert 0 < held() * MEAN_ENTRY_BYTES < 1.6 * COPY_BYTES_PER_S  # each tick brings one message more
+    cluster.cut = lambda a, b: True
+    for replicator in cluster.replicators.values():
+        replicator.links.clear()
+    cluster.run(1500)
+    assert not new.is_settled
+    cluster.cut = lambda a, b: False
+    cluster.run(4000)
+    assert (new.is_settled, new.incarnation.number) == (True, 2)
     assert held() > 40_000
-    assert not any(said.get("alone") for said in talk.said[2:])
+    assert not any(said.get("alone") for said in cluster.logged[2:])
 
 
-def test_a_full_copy_brings_nothing_back_that_has_ended() -> None:
-    talk = Talk(3)
-    talk.run(2500)
-    writer = talk.meshes["n0"]
+def test_a_full_copy_brings_nothing_back_that_was_deleted() -> None:
+    cluster = Cluster(3)
+    cluster.run(2500)
+    writer = cluster.replicators["n0"]
     for number in range(500):
-        writer.write(f"k{number}", "x" * 200, talk.now)
-    talk.run(500)
-    talk.cut = lambda a, b: "n2" in (a, b)
+        writer.write(f"k{number}", "x" * 200, cluster.now)
+    cluster.run(500)
+    cluster.cut = lambda a, b: "n2" in (a, b)
     for name in ("n0", "n1"):
-        talk.meshes[name].left("n2", talk.now)
-        talk.meshes["n2"].left(name, talk.now)
+        cluster.replicators[name].link_down("n2", cluster.now)
+        cluster.replicators["n2"].link_down(name, cluster.now)
     for number in range(400):
-        writer.write(f"k{number}", None, talk.now)
-    talk.run(TOMB_MS + 2000, step=500.0)
-    assert writer.own().floor > 0
-    assert len(dict(talk.meshes["n2"].replica.chains[writer.life].live())) > 400
-    talk.cut = lambda a, b: False
-    talk.run(2000)
-    assert talk.meshes["n2"].replica.same(writer.replica)
-    live = dict(talk.meshes["n2"].replica.chains[writer.life].live())
+        writer.write(f"k{number}", None, cluster.now)
+    cluster.run(TOMBSTONE_MS + 2000, step=500.0)
+    assert writer.own_log().floor > 0
+    assert len(dict(cluster.replicators["n2"].replica.logs[writer.incarnation].live_entries())) > 400
+    cluster.cut = lambda a, b: False
+    cluster.run(2000)
+    assert cluster.replicators["n2"].replica.has_same_entries(writer.replica)
+    live = dict(cluster.replicators["n2"].replica.logs[writer.incarnation].live_entries())
     assert sorted(k for k in live if k[0] == "k") == sorted(f"k{number}" for number in range(400, 500))
 
 
-def test_a_message_is_bounded_and_a_slow_peer_gets_the_newest_and_no_more() -> None:
-    talk = Talk(2)
-    talk.run(2500)
-    mesh = talk.meshes["n0"]
+def test_a_frame_is_bounded_and_a_slow_peer_gets_the_newest_and_no_more() -> None:
+    cluster = Cluster(2)
+    cluster.run(2500)
+    replicator = cluster.replicators["n0"]
     for _ in range(50):
         for number in range(200):
-            mesh.write(f"k{number}", "x" * 500, talk.now)
-        assert mesh.push(lambda name: False) == []  # the peer takes nothing now
-    pushed = mesh.push(lambda name: True)
+            replicator.write(f"k{number}", "x" * 500, cluster.now)
+        assert replicator.push(lambda name: False) == []  # the peer takes nothing now
+    pushed = replicator.push(lambda name: True)
     sizes = [sum(len(e[0]) + len(e[2]) for e in c[7]) for _, m in pushed for c in m["c"]]
-    assert sum(sizes) <= BUDGET + 1000
-    talk.run(1000)
-    assert talk.meshes["n1"].replica.same(mesh.replica)
-
-
-def test_one_voice_makes_suspect_two_make_gone_and_writing_on_refutes() -> None:
-    talk = Talk(4)
-    talk.run(2500)
-    n0 = talk.meshes["n0"]
-    assert {n0.state(name, talk.now) for name in talk.names} == {State.ALIVE}
-    talk.cut = lambda a, b: {a, b} == {"n1", "n2"}  # one link alone is bad, and says nothing
-    talk.run(3000)
-    assert n0.state("n2", talk.now) in (State.SUSPECT, State.ALIVE)
-    assert n0.state("n1", talk.now) in (State.SUSPECT, State.ALIVE)
-    gone = talk.meshes.pop("n3")
-    talk.run(6000)
-    assert n0.state("n3", talk.now) is State.GONE
-    assert n0.state("n2", talk.now) is not State.GONE
-    assert gone.life.name not in n0.alive(talk.now)
-    talk.meshes["n3"] = talk.make("n3", 9)
-    for mesh in talk.meshes.values():
-        mesh.left("n3", talk.now)
-    talk.run(4000)
-    assert n0.state("n3", talk.now) is State.ALIVE
-
-
-def test_who_hears_nobody_takes_itself_for_the_fault() -> None:
-    talk = Talk(8)
-    talk.run(2500)
-    talk.cut = lambda a, b: "n5" in (a, b)
-    talk.run(4000)
-    n5 = talk.meshes["n5"]
-    assert n5.alone(talk.now)
-    assert not [key for key, _ in n5.own().live() if key.startswith(DOWN)]
-    assert {n5.state(name, talk.now) for name in talk.names if name != "n5"} == {State.ALIVE}
-    assert talk.meshes["n0"].state("n5", talk.now) is State.GONE
-
-
-def test_two_lives_of_one_name_the_newer_closes_the_older() -> None:
-    talk = Talk(3)
-    talk.run(2500)
-    old, closed = talk.meshes["n1"], list[bool]()
+    assert sum(sizes) <= DELTA_BUDGET_BYTES + 1000
+    cluster.run(1000)
+    assert cluster.replicators["n1"].replica.has_same_entries(replicator.replica)
+
+
+def test_one_report_makes_suspect_two_make_dead_and_writing_on_refutes() -> None:
+    cluster = Cluster(4)
+    cluster.run(2500)
+    n0 = cluster.replicators["n0"]
+    assert {n0.member_state(name, cluster.now) for name in cluster.names} == {MemberState.ALIVE}
+    cluster.cut = lambda a, b: {a, b} == {"n1", "n2"}  # one link alone is bad, and says nothing
+    cluster.run(3000)
+    assert n0.member_state("n2", cluster.now) in (MemberState.SUSPECT, MemberState.ALIVE)
+    assert n0.member_state("n1", cluster.now) in (MemberState.SUSPECT, MemberState.ALIVE)
+    gone = cluster.replicators.pop("n3")
+    cluster.run(6000)
+    assert n0.member_state("n3", cluster.now) is MemberState.DEAD
+    assert n0.member_state("n2", cluster.now) is not MemberState.DEAD
+    assert gone.incarnation.name not in n0.present_members(cluster.now)
+    cluster.replicators["n3"] = cluster.make("n3", 9)
+    for replicator in cluster.replicators.values():
+        replicator.link_down("n3", cluster.now)
+    cluster.run(4000)
+    assert n0.member_state("n3", cluster.now) is MemberState.ALIVE
+
+
+def test_an_isolated_member_suspects_itself_and_reports_nobody() -> None:
+    cluster = Cluster(8)
+    cluster.run(2500)
+    cluster.cut = lambda a, b: "n5" in (a, b)
+    cluster.run(4000)
+    n5 = cluster.replicators["n5"]
+    assert n5.is_isolated(cluster.now)
+    assert not [key for key, _ in n5.own_log().live_entries() if key.startswith(DOWN_KEY_PREFIX)]
+    assert {n5.member_state(name, cluster.now) for name in cluster.names if name != "n5"} == {
+        MemberState.ALIVE
+    }
+    assert cluster.replicators["n0"].member_state("n5", cluster.now) is MemberState.DEAD
+
+
+def test_of_two_incarnations_of_one_name_the_newer_closes_the_older() -> None:
+    cluster = Cluster(3)
+    cluster.run(2500)
+    old, closed = cluster.replicators["n1"], list[bool]()
     old.on_closed = lambda: closed.append(True)
-    talk.meshes["n1"] = talk.make("n1", 5)  # while the old one stands still
-    for mesh in (talk.meshes["n0"], talk.meshes["n2"]):
-        mesh.left("n1", talk.now)
-    talk.run(1500)
-    assert talk.meshes["n1"].life.number == 2
-    talk.meshes["n1"].close(talk.now)
-    talk.run(500)
-    assert not any(life == old.life for mesh in talk.meshes.values() for life in mesh.replica.chains)
-    asleep, talk.meshes["n1"] = talk.meshes["n1"], old  # it wakes, and the newer one is out of reach
+    cluster.replicators["n1"] = cluster.make("n1", 5)  # while the old one is stalled
+    for replicator in (cluster.replicators["n0"], cluster.replicators["n2"]):
+        replicator.link_down("n1", cluster.now)
+    cluster.run(1500)
+    assert cluster.replicators["n1"].incarnation.number == 2
+    cluster.replicators["n1"].close_earlier_incarnations(cluster.now)
+    cluster.run(500)
+    assert not any(
+        life == old.incarnation
+        for replicator in cluster.replicators.values()
+        for life in replicator.replica.logs
+    )
+    newer = cluster.replicators["n1"]
+    cluster.replicators["n1"] = old  # it wakes, and the newer one is out of reach
     old.links.clear()
-    for mesh in (talk.meshes["n0"], talk.meshes["n2"]):
-        mesh.left("n1", talk.now)
-    talk.run(1000)
+    for replicator in (cluster.replicators["n0"], cluster.replicators["n2"]):
+        replicator.link_down("n1", cluster.now)
+    cluster.run(1000)
     assert closed == [True]
-    before = old.own().version
-    old.write("u:x", 1, talk.now)
-    assert old.own().version == before
-    assert asleep.life > old.life
+    before = old.own_log().version
+    old.write("u:x", 1, cluster.now)
+    assert old.own_log().version == before
+    assert newer.incarnation > old.incarnation
 
 
-def test_whoever_writes_in_our_name_is_closed_by_a_new_life() -> None:
-    talk = Talk(3)
-    talk.run(2500)
-    mesh = talk.meshes["n0"]
-    life, version = mesh.life, mesh.own().version
+def test_a_forged_log_is_closed_by_a_new_incarnation() -> None:
+    cluster = Cluster(3)
+    cluster.run(2500)
+    replicator = cluster.replicators["n0"]
+    life, version = replicator.incarnation, replicator.own_log().version
     forged = [[*life, version, version + 9, 0, False, [["u:a", version + 9, 1]]]]
-    talk.meshes["n1"].received("n2", {"k": "news", "c": forged}, talk.now)
-    assert "u:a" in talk.meshes["n1"].replica.chains[life].entries
-    talk.run(2000)
-    assert mesh.life.number == life.number + 1
-    assert all(life not in other.replica.chains for other in talk.meshes.values())
-    assert any(said.get("what") == "another writes in this name" for said in talk.said)
+    cluster.replicators["n1"].receive("n2", {"k": "news", "c": forged}, cluster.now)
+    assert "u:a" in cluster.replicators["n1"].replica.logs[life].entries
+    cluster.run(2000)
+    assert replicator.incarnation.number == life.number + 1
+    assert all(life not in other.replica.logs for other in cluster.replicators.values())
+    assert any(said.get("what") == "another writes in this name" for said in cluster.logged)
 
 
 GOOD = {"k": "have", "v": [], "s": True, "m": False, "a": False}
@@ -303,26 +332,26 @@
     ],
     ids=lambda message: str(message)[:60],
 )  # fmt: skip
-def test_what_a_peer_can_not_say_changes_nothing(message: Any) -> None:
-    talk = Talk(3)
-    talk.run(2500)
-    mesh = talk.meshes["n0"]
-    before = {life: dict(chain.entries) for life, chain in mesh.replica.chains.items()}
-    with pytest.raises(MalformedMessageError):
-        mesh.received("n1", message, talk.now)
-    assert {life: dict(chain.entries) for life, chain in mesh.replica.chains.items()} == before
-
-
-def test_chains_kept_are_bounded_whatever_lives_a_peer_makes_up() -> None:
-    talk = Talk(3)
-    talk.run(2500)
-    mesh = talk.meshes["n0"]
+def test_a_malformed_frame_changes_nothing(message: Any) -> None:
+    cluster = Cluster(3)
+    cluster.run(2500)
+    replicator = cluster.replicators["n0"]
+    before = {life: dict(chain.entries) for life, chain in replicator.replica.logs.items()}
+    with pytest.raises(MalformedFrameError):
+        replicator.receive("n1", message, cluster.now)
+    assert {life: dict(chain.entries) for life, chain in replicator.replica.logs.items()} == before
+
+
+def test_logs_kept_are_bounded_whatever_incarnations_a_peer_makes_up() -> None:
+    cluster = Cluster(3)
+    cluster.run(2500)
+    replicator = cluster.replicators["n0"]
     for number in range(2, 2000):
         made = [["n1", number, 7, 0, 1, 0, False, [["u:a", 1, 1]]]]
-        mesh.received("n1", {"k": "news", "c": made}, talk.now)
-        mesh.received("n1", {**GOOD, "v": [["n1", number, 7, 1, 0]]}, talk.now)
-    assert len(mesh.replica.chains) <= mesh.replica.lives_most
-    assert len(mesh.links["n1"].theirs) <= mesh.replica.lives_most + 1
+        replicator.receive("n1", {"k": "news", "c": made}, cluster.now)
+        replicator.receive("n1", {**GOOD, "v": [["n1", number, 7, 1, 0]]}, cluster.now)
+    assert len(replicator.replica.logs) <= replicator.replica.max_logs
+    assert len(replicator.links["n1"].known_states) <= replicator.replica.max_logs + 1
 
 
 # Limiters
@@ -376,14 +405,14 @@
     found.run(found.now + 1000)
     member: Any = found.limiters[3]
     gateway = member.core.gateway
-    assert not member.peering.mesh.settled
+    assert not member.peering.replicator.is_settled
     found.load([Arrival(found.now + 10, "x", 1, 0, 0, 1.0, 3)])
     found.run(found.now + 100)
     assert [c.balance for c in gateway.customers.values()] and max(
         c.balance for c in gateway.customers.values()
     ) < 0.2  # fmt: skip
     found.run(found.now + 2500)
-    assert member.peering.mesh.settled  # alone for long enough: it goes on by itself
+    assert member.peering.replicator.is_settled  # alone for long enough: it goes on by itself
     found.heal()
     found.run(found.now + 3000)
     assert found.same()
@@ -395,7 +424,7 @@
     found.cut(set(found.names[: count // 2]), set(found.names[count // 2 :]))
     for number in range(count):
         member: Any = found.limiters[number]
-        member.peering.mesh.write(f"x:deck-{number}", [1.0, True], found.now)
+        member.peering.replicator.write(f"x:deck-{number}", [1.0, True], found.now)
     found.run(found.now + 1900)
     assert not found.same()
     found.heal()
@@ -416,19 +445,19 @@
         found.run(began + 3000)
         rates[count] = (sum(found.bytes.values()) - before) / 3 / count
         members: list[Any] = found.limiters
-        links[count] = len(members[0].peering.mesh.neighbours())
+        links[count] = len(members[0].peering.replicator.topology.neighbours)
     assert rates[40] / rates[8] <= 1.3 * links[40] / links[8], rates
 
 
 def test_one_wrong_peer_takes_no_backend_out_and_hands_out_no_quota() -> None:
     found = flock(8, seconds=2.0)
     liar: Any = found.limiters[2]
-    mesh, now = liar.peering.mesh, found.now
+    replicator, now = liar.peering.replicator, found.now
     for server in found.servers:
-        mesh.write("b:" + server, [0], now)
-        mesh.write("g:" + server, [], now)
+        replicator.write("b:" + server, [0], now)
+        replicator.write("g:" + server, [], now)
     for number in range(50):
-        mesh.write(f"u:{number:016x}", [1e8, -1e8, 1e8, 0.0, 7, 0, 1e15], now)
+        replicator.write(f"u:{number:016x}", [1e8, -1e8, 1e8, 0.0, 7, 0, 1e15], now)
     found.run(now + 4000)
     for member in found.limiters:
         other: Any = member
@@ -486,7 +515,7 @@
     assert found.names[5] not in held(found)  # alone it goes by itself
 
 
-def test_bans_are_known_to_the_next_life() -> None:
+def test_bans_are_known_to_the_next_incarnation() -> None:
     found = flock(3, seconds=0.1)
     member: Any = found.limiters[1]
     assert member.bans.say("deck-2", True, found.kernel.now)
@@ -500,21 +529,21 @@
     assert "deck-2" not in new.core.gateway.servers
 
 
-def test_a_life_that_stood_still_finds_itself_closed_and_grants_nothing() -> None:
+def test_a_stalled_incarnation_finds_itself_closed_and_grants_nothing() -> None:
     found = flock(3, seconds=5.0, counter="silent")
     old: Any = found.limiters[1]
     found.stall(1, 5000.0)
     found.part(old.name)
     old.flock.limiters[1] = new = found.make(1)  # the platform has started another under the same name
     found.run(found.now + 2500)
-    assert new.peering.mesh.settled
+    assert new.peering.replicator.is_settled
     found.kernel.at(found.kernel.now + 2600, lambda: found.dial(old, found.names[0]))
     found.pairs.clear()
     for member in (found.limiters[0], found.limiters[2]):
         other: Any = member
-        other.peering.mesh.links.clear()
+        other.peering.replicator.links.clear()
     found.run(found.now + 3500)
-    assert old.peering.mesh.closed
+    assert old.peering.replicator.is_closed
     assert all(c.plan.burst == 0.0 for c in old.core.gateway.customers.values() if not c.shared)
     assert old.core.gateway.records.given_way_until == float("inf")
 
@@ -526,10 +555,10 @@
     assert record is None or (abs(record.balance) <= 1e9 and record.at <= 1e12)
 
 
-def test_a_forged_account_of_a_former_life_hands_out_a_burst_at_most() -> None:
+def test_a_forged_account_of_an_earlier_incarnation_grants_a_burst_at_most() -> None:
     found = flock(3, seconds=0.1, counter="silent")
     old: Any = found.limiters[1]
-    old.peering.mesh.write(f"u:{7:016x}", [1e8, 0.0, 1e8, 0.0, -1, START_MS, START_MS + 1e7], found.now)
+    old.peering.replicator.write(f"u:{7:016x}", [1e8, 0.0, 1e8, 0.0, -1, START_MS, START_MS + 1e7], found.now)
     found.run(found.now + 300)
     found.kill(1, 10.0)
     found.run(found.now + 2500)
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -11,8 +11,8 @@
 
 from scalelb.lab.idempotency import BEGIN_MS, CLASS, Case, Run
 from scalelb.lab.model import START_MS
-from scalelb.peers import Life
 from scalelb.program.idempotency_records import HEARD_MOST, OWN_MOST, IdempotencyRecords
+from scalelb.replication import Incarnation
 from scalelb.routing import interface as io
 from scalelb.routing.keys import homes
 
@@ -94,7 +94,7 @@
             del self.written[key]
 
 
-LIFE, LIAR = Life("n1", 1, 7), Life("n2", 1, 9)
+LIFE, LIAR = Incarnation("n1", 1, 7), Incarnation("n2", 1, 9)
 
 
 @pytest.mark.parametrize(
