--- a/scalelb/lab/experiment.py
+++ b/scalelb/lab/experiment.py
@@ -15,8 +15,8 @@
 
 from scalelb.fairness import DoorSettings
 from scalelb.lab.traffic import Arrival, Clients, EveningError, Tenant, draw, read_evening
+from scalelb.policy.settings import Settings
 from scalelb.program.config import ConfigError, Node, read_door, read_settings
-from scalelb.routing import interface as io
 
 SECONDS_MOST, SERVERS_MOST, LIMITERS_MOST, VARIANTS_MOST = 3600, 500, 50, 64
 ARRIVALS_MOST = 2_000_000
@@ -109,7 +109,7 @@
             "extra": {"most-units": self.most_units, "shared-counter": True, "count-limit-ms": 30},
         }  # fmt: skip
 
-    def settings(self, variant: Variant, index: int = 0) -> io.Settings:
+    def settings(self, variant: Variant, index: int = 0) -> Settings:
         """The settings, read as the program reads them."""
         return read_settings(self.settings_object(variant, index), "settings")
 
--- a/scalelb/lab/virtual.py
+++ b/scalelb/lab/virtual.py
@@ -120,7 +120,7 @@
     def make(self, index: int) -> Any:
         """A new life."""
         life, self.lives[index] = self.lives[index], self.lives[index] + 1
-        return Recorder(self, index, replace(self.settings, index=index), life)
+        return Recorder(self, index, replace(self.settings, limiter_index=index), life)
 
     # What is seen
 
--- a/scalelb/middleware/asgi.py
+++ b/scalelb/middleware/asgi.py
@@ -52,7 +52,7 @@
         except MalformedError as error:
             await _answer(send, 400, str(error))
             return
-        deadline = self.host.settings.classes[asked.kind].deadline_ms
+        deadline = self.host.settings.request_classes[asked.kind].deadline_ms
         asking = admit(
             self.host.core,
             customer=asked.customer,
--- a/scalelb/middleware/host.py
+++ b/scalelb/middleware/host.py
@@ -8,7 +8,9 @@
 from math import isfinite
 
 from scalelb.fairness import DoorSettings
-from scalelb.routing import interface as io
+from scalelb.policy.endpoints import Endpoint
+from scalelb.policy.events import Outcome
+from scalelb.policy.settings import Settings
 from scalelb.routing.core import Core, Limits, Ticket
 
 AddToCounter = Callable[[int, float, float], Awaitable[float]]
@@ -20,7 +22,7 @@
 
     def __init__(
         self,
-        settings: io.Settings,
+        settings: Settings,
         seed: int = 0,
         add: AddToCounter | None = None,
         clock: Callable[[], float] | None = None,
@@ -36,7 +38,7 @@
 
     def fetch(self, ticket: Ticket, server: str, patience_ms: float) -> None:
         """Only admissions come this way; nothing is ever fetched."""
-        self.core.fetched(ticket, io.Outcome.CONNECT_FAILED)
+        self.core.fetched(ticket, Outcome.CONNECT_FAILED)
 
     def drop(self, ticket: Ticket) -> None:
         """Nothing is ever out."""
@@ -44,7 +46,7 @@
     def probe(self, server: str) -> None:
         """There are no servers."""
 
-    def listed(self, servers: Iterable[io.ServerInfo], full: bool) -> None:
+    def listed(self, servers: Iterable[Endpoint], full: bool) -> None:
         """There are no servers."""
 
     def count(self, name: int, amount: float, keep_ms: float) -> None:
@@ -54,17 +56,17 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _count(self, name: int, amount: float, keep_ms: float) -> None:
-        began, outcome, total = self.clock(), io.Outcome.CONNECT_FAILED, 0.0
+        began, outcome, total = self.clock(), Outcome.CONNECT_FAILED, 0.0
         if self.add is not None:
             try:
                 timeout = self.settings.counter_wait_ms / 1000
                 total = await asyncio.wait_for(self.add(name, amount, keep_ms), timeout)
                 # Guards the quota: what is no number was added, but says nothing of the others' use.
-                outcome = io.Outcome.OK if isfinite(total) else io.Outcome.ERROR
+                outcome = Outcome.OK if isfinite(total) else Outcome.ERROR
             except ConnectionRefusedError:
-                outcome = io.Outcome.CONNECT_FAILED
+                outcome = Outcome.CONNECT_FAILED
             except Exception:  # guards the app: whatever the counter does, it may have added
-                outcome = io.Outcome.TIMEOUT
+                outcome = Outcome.TIMEOUT
         self.core.counted(name, outcome, total, self.clock() - began)
 
     def wake(self, at: float) -> None:
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -87,8 +87,8 @@
 
             check = Authorization(self.loop.core, config.kinds, config.plans, self.ready, log)
             self.grpc = GrpcFront(check, fronts.external_authorization, fronts.grpc_health, log)
-        asked = config.settings.must_ask_ms if config.settings.subscribe else 0.0
-        pace = Pace(config.settings.gateways, Random(f"director {config.seed}"), asked)
+        asked = config.settings.discovery_silence_ms if config.settings.subscribes_to_endpoints else 0.0
+        pace = Pace(config.settings.limiter_count, Random(f"director {config.seed}"), asked)
         self.director = DirectorWatch(reactor, config.director, config.generation, self.told, log, pace)
         self.heard = False  # the director's word
         self.cpu = 0.0
@@ -361,7 +361,7 @@
         """Take nothing new; end once all is answered."""
         self.door.shut(shared=self.config.inherited is not None)
         if self.grpc is not None:
-            longest = max(kind.deadline_ms for kind in self.config.settings.classes)
+            longest = max(kind.deadline_ms for kind in self.config.settings.request_classes)
             self.task(self.grpc.stop(longest / 1000))
         self.wait()
 
--- a/scalelb/program/config.py
+++ b/scalelb/program/config.py
@@ -18,10 +18,11 @@
 import orjson
 
 from scalelb.fairness import DoorSettings, FlowBy
-from scalelb.routing import interface as io
+from scalelb.policy.endpoints import Endpoint, EndpointState
+from scalelb.policy.settings import DeduplicationScope, Idempotency, Objective, Plan, RequestClass, Settings
 
 E = TypeVar("E", bound=Enum)
-STATES = {"ready": io.State.SERVING, "draining": io.State.DRAINING, "gone": io.State.GONE}
+STATES = {"ready": EndpointState.SERVING, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
 PROGRAM_MB = 30.0  # that the program takes with nothing to do, and some
 DEPLOY = Path(__file__).parent.parent.parent / "deploy"
 FRONTS, FAIRNESS, PEERS = DEPLOY / "fronts.toml", DEPLOY / "fairness.toml", DEPLOY / "peers.toml"
@@ -114,61 +115,61 @@
         return value
 
 
-def read_settings(options: Any, path: str = "options") -> io.Settings:
+def read_settings(options: Any, path: str = "options") -> Settings:
     """Check and translate a limiter's settings; keys that are not known are skipped."""
     top = Node(options, path)
     limits, rules, extra = top.node("limits"), top.node("rules"), top.node("extra")
     mix = top.node("objective-mix", {})
-    return io.Settings(
-        index=top.whole("index"),
-        gateways=top.whole("balancers", 1),
+    return Settings(
+        limiter_index=top.whole("index"),
+        limiter_count=top.whole("balancers", 1),
         zone=top.whole("zone"),
-        classes=tuple(
-            io.RequestClass(
-                aim_ms=c.number("aim-ms", above=True),
+        request_classes=tuple(
+            RequestClass(
+                latency_objective_ms=c.number("aim-ms", above=True),
                 deadline_ms=c.number("hard-limit-ms", above=True),
-                effect=c.choice("effect", io.Effect),
-                group=c.choice("group", io.Group),
-                window_ms=c.number("window-ms"),
-                worth=c.number("worth"),
-                late_value=c.number("late-value"),
+                idempotency=c.choice("effect", Idempotency),
+                deduplication_scope=c.choice("group", DeduplicationScope),
+                idempotency_window_ms=c.number("window-ms"),
+                priority_weight=c.number("worth"),
+                late_value_ratio=c.number("late-value"),
             )
             for c in top.nodes("classes", 1)
         ),
         plans=tuple(
-            io.Plan(
-                rate=t.number("units-per-s"),
+            Plan(
+                rate_per_s=t.number("units-per-s"),
                 burst=t.number("most-at-once"),
-                at_once=t.whole("at-once"),
-                ceiling_rate=t.number("cap-rate"),
+                max_concurrent_attempts=t.whole("at-once"),
+                ceiling_rate_per_s=t.number("cap-rate"),
                 ceiling_burst=t.number("hard-burst"),
                 ceiling_slack=t.number("hard-slack"),
                 price=t.number("pays"),
-                over_worth=t.number("over-worth"),
-                over_cost=t.number("over-cost"),
+                over_quota_value_ratio=t.number("over-worth"),
+                over_quota_cost_ratio=t.number("over-cost"),
             )
             for t in top.nodes("tariffs", 1)
         ),
-        attempt_limit=limits.whole("try-limit", 1),
-        cold_from=rules.number("cold-from", above=True),
-        cold_ms=rules.number("cold-ms", above=True),
-        fall_multiple=rules.number("fall-multiple", above=True),
-        fall_ms=rules.number("fall-ms", above=True),
-        most_units=extra.number("most-units"),
-        units_settled=extra.flag("cost-after", default=False),
-        counter=extra.flag("shared-counter"),
+        max_attempts=limits.whole("try-limit", 1),
+        slow_start_initial_ratio=rules.number("cold-from", above=True),
+        slow_start_ms=rules.number("cold-ms", above=True),
+        overload_multiple=rules.number("fall-multiple", above=True),
+        overload_window_ms=rules.number("fall-ms", above=True),
+        max_units=extra.number("most-units"),
+        settles_true_units=extra.flag("cost-after", default=False),
+        has_counter=extra.flag("shared-counter"),
         counter_timeout_ms=extra.number("count-limit-ms"),
-        cancel=limits.flag("cancel"),
-        probing=limits.flag("probing"),
-        retry_after=limits.flag("retry-after"),
+        cancels_attempts=limits.flag("cancel"),
+        has_health_checks=limits.flag("probing"),
+        sends_retry_after=limits.flag("retry-after"),
         max_retry_after_ms=limits.number("max-retry-after-ms"),
-        subscribe=top.text("discovery") == "on_request",
-        handshake=top.node("penalties", {}).number("handshake", default=0.0),
-        idle_ms=limits.number("conn-idle-ms", default=0.0),
-        must_ask_ms=rules.number("must-ask-in-ms", default=10_000.0, above=True),
-        objective=io.Objective(
-            whole=mix.number("whole", default=1.0),
-            worst_class=mix.number("worst-class", default=0.0),
+        subscribes_to_endpoints=top.text("discovery") == "on_request",
+        handshake_cost=top.node("penalties", {}).number("handshake", default=0.0),
+        idle_timeout_ms=limits.number("conn-idle-ms", default=0.0),
+        discovery_silence_ms=rules.number("must-ask-in-ms", default=10_000.0, above=True),
+        objective=Objective(
+            overall_weight=mix.number("whole", default=1.0),
+            worst_class_weight=mix.number("worst-class", default=0.0),
         ),
     )
 
@@ -206,7 +207,7 @@
     counter: str
     seed: int
     sockets: int
-    settings: io.Settings
+    settings: Settings
     kinds: tuple[str, ...]
     plans: tuple[str, ...]
     zones: tuple[str, ...]
@@ -286,7 +287,7 @@
         name=top.text("name", "limiter"),
         listen=top.address("listen"),
         director=top.address("discovery"),
-        counter=top.address("counter") if parsed.counter else "",
+        counter=top.address("counter") if parsed.has_counter else "",
         seed=number,
         sockets=top.node("limits", {}).whole("sockets", 64, 1024),
         memory_mb=top.node("limits", {}).number("memory_mb", 16.0, 192.0),
@@ -351,7 +352,7 @@
         raise ConfigError(f"EDGE_CONFIG: {path}: not JSON: {error}") from None
 
 
-def read_door(options: Any, settings: io.Settings, plans: tuple[str, ...]) -> DoorSettings | None:
+def read_door(options: Any, settings: Settings, plans: tuple[str, ...]) -> DoorSettings | None:
     """Check what a fair door is told (`deploy/fairness.toml` has the keys); nothing where it is off.
 
     An API call as well: `options` is the same object that the file holds.
@@ -367,7 +368,7 @@
             raise ConfigError(f"{key}.{unknown[0]}: not known; there are {', '.join(sorted(known[key]))}")
     door, weights = top.node("door", {}), top.node("weights", {})
     promises, limit = top.node("promises", {}), top.node("limit", {})
-    rates = tuple(plan.rate for plan in settings.plans)
+    rates = tuple(plan.rate_per_s for plan in settings.plans)
     usual = DoorSettings(plan_rates=rates)
     _check_limit(limit, usual)
     read = DoorSettings(
@@ -402,7 +403,7 @@
 
 
 def read_fairness(
-    environment: Mapping[str, str], settings: io.Settings, plans: tuple[str, ...]
+    environment: Mapping[str, str], settings: Settings, plans: tuple[str, ...]
 ) -> DoorSettings | None:
     """Read the fair door's file; without one there is no door."""
     path = Path(environment.get("SCALELB_FAIRNESS", "") or FAIRNESS)
@@ -472,20 +473,20 @@
     return Fronts(**found)
 
 
-def read_entry(entry: dict[str, Any], zones: tuple[str, ...], path: str) -> tuple[io.ServerInfo, str]:
+def read_entry(entry: dict[str, Any], zones: tuple[str, ...], path: str) -> tuple[Endpoint, str]:
     """One entry of the director's list: what the decisions are told, and the address."""
     node = Node(entry, path)
     state = STATES.get(node.text("lifecycle"))
     if state is None:
         raise ConfigError(f"{node.at('lifecycle')}: must be one of {', '.join(STATES)}")
     zone = node.text("zone", "-")
-    info = io.ServerInfo(
-        server=node.text("instanceId"),
+    info = Endpoint(
+        name=node.text("instanceId"),
         state=state,
         zone=zones.index(zone) if zone in zones else -1,
         cell=node.whole("cell", 0, 0),
-        size=node.number("weight", 0.0, 1.0) or 1.0,
-        started_ms=node.number("startedAtMs", -inf, 0.0),
+        relative_capacity=node.number("weight", 0.0, 1.0) or 1.0,
+        started_at=node.number("startedAtMs", -inf, 0.0),
     )
-    address = "" if state is io.State.GONE and "hostPort" not in entry else node.address("hostPort")
+    address = "" if state is EndpointState.REMOVED and "hostPort" not in entry else node.address("hostPort")
     return info, address
--- a/scalelb/program/idempotency_records.py
+++ b/scalelb/program/idempotency_records.py
@@ -14,7 +14,8 @@
 from typing import Any
 
 from scalelb.peers import Life
-from scalelb.routing import interface as io
+from scalelb.policy.endpoints import Endpoint, EndpointState
+from scalelb.policy.settings import DeduplicationScope, Idempotency
 from scalelb.routing.core import Core
 from scalelb.routing.state import Request
 
@@ -35,10 +36,10 @@
         """`write` takes the chain's key and value; `flush` sends what was written at once."""
         self.core, self.clock, self.write, self.flush = core, clock, write, flush
         self.own: dict[str, float] = {}  # until when; oldest first
-        self.heard: dict[str, tuple[float, float, Life, io.ServerInfo]] = {}  # sent, until, by whom, where
+        self.heard: dict[str, tuple[float, float, Life, Endpoint]] = {}  # sent, until, by whom, where
         core.replicas = self
 
-    def ran(self, customer: str, key: str) -> tuple[io.ServerInfo, float] | None:
+    def ran(self, customer: str, key: str) -> tuple[Endpoint, float] | None:
         """Where a try with this key may have run through another limiter, or another life of this one."""
         sent, until, _, info = self.heard.get(f"{customer} {key}", (0.0, 0.0, None, None))
         return (info, sent) if info is not None and self.clock() < until else None
@@ -46,15 +47,21 @@
     def sends(self, request: Request) -> None:
         """Tell it before it is sent."""
         kind, now = request.kind, self.clock()
-        if not request.key or kind.effect is not io.Effect.KEYED or kind.group is io.Group.ALL:
+        if (
+            not request.key
+            or kind.idempotency is not Idempotency.IDEMPOTENCY_KEY
+            or kind.deduplication_scope is DeduplicationScope.ALL
+        ):
             return
         server = self.core.gateway.attempts[request.ident, request.sends - 1].server.info
         name = f"{request.customer.name} {request.key}"
         self.own.pop(name, None)
         if len(self.own) >= OWN_MOST:  # guards the memory: the oldest goes
             self._end(next(iter(self.own)))
-        self.own[name] = now + kind.window_ms
-        self.write(KEYED + name, [server.zone, server.cell, round(now), round(now + kind.window_ms)])
+        self.own[name] = now + kind.idempotency_window_ms
+        self.write(
+            KEYED + name, [server.zone, server.cell, round(now), round(now + kind.idempotency_window_ms)]
+        )
         self.flush()
 
     def _end(self, name: str) -> None:
@@ -85,5 +92,5 @@
                     return
                 if len(self.heard) >= HEARD_MOST and name not in self.heard:
                     return
-                info = io.ServerInfo("", io.State.GONE, zone=zone, cell=cell)
+                info = Endpoint("", EndpointState.REMOVED, zone=zone, cell=cell)
                 self.heard[name] = float(sent), float(until), life, info
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -8,8 +8,10 @@
 from dataclasses import replace
 from typing import Any
 
+from scalelb.policy.endpoints import Endpoint, EndpointState
+from scalelb.policy.events import Outcome
+from scalelb.policy.settings import IDLE_REUSE_RATIO
 from scalelb.program.config import Config, ConfigError, read_entry
-from scalelb.routing import interface as io
 from scalelb.routing.bans import Bans
 from scalelb.routing.core import Core, Limits, Ticket
 from scalelb.routing.figures import Figures
@@ -38,7 +40,7 @@
             connections=config.connections_most,
             each=each,
             connect_ms=config.connect_timeout_ms,
-            idle_ms=io.REST * config.conn_idle_ms,
+            idle_ms=IDLE_REUSE_RATIO * config.conn_idle_ms,
         )
         self.pool = Pool(reactor, clock, log, pool)
         self.counter: CounterClient | None = None
@@ -72,7 +74,7 @@
 
         def ended(result: AttemptResult) -> None:
             if ticket.out and ticket.attempt == attempt:
-                if ticket.first and result.outcome is not io.Outcome.OK and not ticket.done:
+                if ticket.first and result.outcome is not Outcome.OK and not ticket.done:
                     session.broken(held.answer, ticket)
                 usage = result.usage
                 self.core.fetched(
@@ -104,7 +106,7 @@
     def count(self, name: int, amount: float, keep_ms: float) -> None:
         """Call the counter."""
         if self.counter is None:
-            self.core.counted(name, io.Outcome.CONNECT_FAILED, 0.0, 0.0)
+            self.core.counted(name, Outcome.CONNECT_FAILED, 0.0, 0.0)
         else:
             self.counter.count(name, amount, keep_ms)
 
@@ -113,14 +115,14 @@
         began = self.clock()
         self.pool.probe(server, lambda o, r: self.core.probed(server, o, self.clock() - began, r))
 
-    def listed(self, servers: Iterable[io.ServerInfo], full: bool) -> None:
+    def listed(self, servers: Iterable[Endpoint], full: bool) -> None:
         """The list has changed: the pool follows."""
         infos = list(servers)
         for info in infos:
-            if info.state is not io.State.GONE:
-                self.pool.name(info.server, self.addresses[info.server], info.state is io.State.SERVING)
-        gone = {info.server for info in infos if info.state is io.State.GONE}
-        keep = {i.server for i in infos} if full else self.pool.backends.keys()
+            if info.state is not EndpointState.REMOVED:
+                self.pool.name(info.name, self.addresses[info.name], info.state is EndpointState.SERVING)
+        gone = {info.name for info in infos if info.state is EndpointState.REMOVED}
+        keep = {i.name for i in infos} if full else self.pool.backends.keys()
         self.pool.keep(keep - gone)
 
     def wake(self, at: float) -> None:
@@ -151,11 +153,11 @@
             except ConfigError as error:
                 self.log("malformed", level="warning", what=str(error), director=self.config.director)
                 continue
-            if info.state is not io.State.GONE:
-                self.addresses[info.server] = address
+            if info.state is not EndpointState.REMOVED:
+                self.addresses[info.name] = address
             infos.append(info)
         infos = self.replaced(infos)
-        states = {info.server: info.state.value for info in infos}
+        states = {info.name: info.state.value for info in infos}
         self.log("list", generation=generation, full=full, servers=states)
         self.core.listed(self.bans.told(infos, full), full)
         known = self.pool.backends
@@ -171,23 +173,23 @@
         now, servers = self.clock(), self.core.gateway.servers
         return sum(self.bans.out(n) or (n in servers and servers[n].down > now) for n in self.pool.backends)
 
-    def replaced(self, infos: list[io.ServerInfo]) -> list[io.ServerInfo]:
+    def replaced(self, infos: list[Endpoint]) -> list[Endpoint]:
         """Guards a new backend at the address of another: there is one machine at an address, so the other is
         gone, whether or not the list says so yet.  It would be sent twice its share, and cold."""
-        newest: dict[str, io.ServerInfo] = {}
-        gone: dict[str, io.ServerInfo] = {}
-        for info in [i for i in infos if i.state is not io.State.GONE]:
-            address = self.addresses[info.server]
+        newest: dict[str, Endpoint] = {}
+        gone: dict[str, Endpoint] = {}
+        for info in [i for i in infos if i.state is not EndpointState.REMOVED]:
+            address = self.addresses[info.name]
             other = newest.setdefault(address, info)
-            if other.server != info.server:
-                older, newer = sorted((other, info), key=lambda i: i.started_ms)
-                gone[older.server] = replace(older, state=io.State.GONE)
+            if other.name != info.name:
+                older, newer = sorted((other, info), key=lambda i: i.started_at)
+                gone[older.name] = replace(older, state=EndpointState.REMOVED)
                 newest[address] = newer
-        named = {info.server for info in infos}
+        named = {info.name for info in infos}
         for name, backend in self.pool.backends.items():
             if name not in named and backend.address in newest:
-                gone[name] = io.ServerInfo(name, io.State.GONE)
-        kept = [info for info in infos if info.server not in gone]
+                gone[name] = Endpoint(name, EndpointState.REMOVED)
+        kept = [info for info in infos if info.name not in gone]
         return kept + list(gone.values())
 
     def sweep(self) -> None:
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -128,7 +128,7 @@
 
     def _publish(self, c: Customer, at: float, now: float) -> None:
         gateway = self.core.gateway
-        if not c.plan.rate and not c.plan.ceiling_rate:
+        if not c.plan.rate_per_s and not c.plan.ceiling_rate_per_s:
             return
         record = c.record(at, gateway.backoff > 0)
         if record.full_at <= at and c.name not in self.published:
@@ -152,10 +152,10 @@
             # What is agreed on stays said until it was tried: else all would find it out anew.
             bad |= said and name in self.agreed and name not in self.relied and server.goods < GOODS
             if bad != said:
-                self.mesh.write(key, [round(server.info.started_ms)] if bad else None, now)
+                self.mesh.write(key, [round(server.info.started_at)] if bad else None, now)
             if self.agreed.get(name) == self.mesh.life.name and server.goods >= GOODS:
                 self.trusted[name] = at
-                self.mesh.write("t:" + name, [round(server.info.started_ms)], now)
+                self.mesh.write("t:" + name, [round(server.info.started_at)], now)
         for name, when in list(self.trusted.items()):
             goods = gateway.servers[name].goods if name in gateway.servers else 0
             if at - when > TRUST_MS or goods < GOODS:
--- a/scalelb/routing/bans.py
+++ b/scalelb/routing/bans.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from scalelb.routing import interface as io
+from scalelb.policy.endpoints import Endpoint, EndpointState
 
 MOST = 1024  # entries; a further id is turned down
 NAME_MOST = 256  # characters of an id
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.words: dict[str, Word] = {}
-        self.listed: dict[str, io.ServerInfo] = {}  # as the director has it
+        self.listed: dict[str, Endpoint] = {}  # as the director has it
         self.held: set[str] = set()  # backends that peers say are gone: they drain until the list tells
 
     def out(self, server: str) -> bool:
@@ -40,28 +40,28 @@
         word = self.words.get(server)
         return word is not None and word.out
 
-    def told(self, servers: Iterable[io.ServerInfo], full: bool) -> tuple[io.ServerInfo, ...]:
+    def told(self, servers: Iterable[Endpoint], full: bool) -> tuple[Endpoint, ...]:
         """The director's word; returns it with the bans in it."""
         infos = tuple(servers)
         if full:
             self.listed = {}
         for info in infos:
-            if info.state is io.State.GONE:
-                self.listed.pop(info.server, None)
+            if info.state is EndpointState.REMOVED:
+                self.listed.pop(info.name, None)
             else:
-                self.listed[info.server] = info
+                self.listed[info.name] = info
         return tuple(map(self.seen, infos)) if self.words or self.held else infos
 
-    def seen(self, info: io.ServerInfo) -> io.ServerInfo:
+    def seen(self, info: Endpoint) -> Endpoint:
         """An entry of the list as the decisions are to see it."""
-        word = self.words.get(info.server)
-        if info.server in self.held and info.state is io.State.SERVING:
-            return replace(info, state=io.State.DRAINING)
-        if word is None or info.state is io.State.GONE:
+        word = self.words.get(info.name)
+        if info.name in self.held and info.state is EndpointState.SERVING:
+            return replace(info, state=EndpointState.DRAINING)
+        if word is None or info.state is EndpointState.REMOVED:
             return info
         if word.out:
-            return replace(info, state=io.State.DRAINING)
-        return replace(info, started_ms=max(info.started_ms, word.at))
+            return replace(info, state=EndpointState.DRAINING)
+        return replace(info, started_at=max(info.started_at, word.at))
 
     def say(self, server: str, out: bool, now: float) -> bool:
         """Staff's word.  False where the backend is not known, or too many are out."""
@@ -89,7 +89,7 @@
                 news.append(server)
         return news
 
-    def entries(self, servers: Iterable[str]) -> tuple[io.ServerInfo, ...]:
+    def entries(self, servers: Iterable[str]) -> tuple[Endpoint, ...]:
         """The list's entries of some backends as they are to be seen now, as a change of the list."""
         return tuple(self.seen(self.listed[server]) for server in servers if server in self.listed)
 
--- a/scalelb/routing/control.py
+++ b/scalelb/routing/control.py
@@ -1,4 +1,4 @@
-"""Every decision of a gateway.  Its types, events and actions: `scalelb/routing/interface.py`.
+"""Every decision of a gateway.  Its events: `scalelb/policy/events.py`; its actions: `actions.py` there.
 
 `_arrive` meets queue and balance; `_turn` credits and releases; `_send` and `_pick` choose a server; `_ended`
 settles; `_lease` and `_replied` take blocks of credit.  After Gage; changes and reasons: `docs/design.md`."""
@@ -14,8 +14,33 @@
 from scalelb.fairness.records import Records
 from scalelb.overload import retry_budget, subsetting
 from scalelb.overload.counter_contention import CounterContention
+from scalelb.policy.actions import (
+    Action,
+    AddToCounter,
+    AdmitRequest,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from scalelb.policy.endpoints import EndpointState
+from scalelb.policy.events import (
+    LOAD_SIGNALS,
+    AttemptEnded,
+    CounterReplied,
+    EndpointListLost,
+    EndpointsListed,
+    Event,
+    Outcome,
+    RequestArrived,
+    RequestCancelled,
+    Started,
+    TimerFired,
+)
+from scalelb.policy.settings import IDLE_REUSE_RATIO, DeduplicationScope, Idempotency, RequestClass, Settings
 from scalelb.routing import health, ledger
-from scalelb.routing import interface as io
 from scalelb.routing.keys import group, homes
 from scalelb.routing.state import Attempt, Customer, Memory, Request, Server
 
@@ -36,56 +61,62 @@
 KEEP, SAVED, CARRIED_MS = 0.4, 0.5, 10_000.0  # of a cold server's budget; of its window; memory
 RETRY_EARN = 0.2  # further attempts for each good answer
 HOT_MOST, VISITS = 2048, 256  # customers known in full; visited in one turn of house-keeping
-NEVER_RAN = (io.Outcome.FULL, io.Outcome.CONNECT_FAILED, io.Outcome.MOOT)
+NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Gateway(Memory):
     """Decides for one front door: `handle` takes each event and returns what to do about it, in order."""
 
-    def __init__(self, settings: io.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(records=Records(random.Random(f"records {seed}").randbytes(16)))
-        self.settings, self.aim = settings, min(kind.aim_ms for kind in settings.classes)
+        self.settings, self.aim = (
+            settings,
+            min(kind.latency_objective_ms for kind in settings.request_classes),
+        )
         self.usual, self.mean = 0.1 * self.aim, ledger.mean_units(settings)  # latency, units
         self.random, self.retries = random.Random(seed), 1.0  # further attempts kept
-        self.flight.limiters, self.crowd = settings.gateways, CounterContention(settings.counter_timeout_ms)
-        self.precedences = settings.precedences()
+        self.flight.limiters, self.crowd = (
+            settings.limiter_count,
+            CounterContention(settings.counter_timeout_ms),
+        )
+        self.precedences = settings.class_precedences()
         self.worth, self.open = self.precedences[0], 1.0
         self.deciders: dict[type, Callable[[float, Any], None]] = {
-            io.RequestArrived: self._arrive,
-            io.AttemptEnded: self._ended,
-            io.CounterReplied: self._replied,
-            io.RequestGone: self._gone,
-            io.ServersListed: self._listed,
-            io.TimerFired: self._turn,
+            RequestArrived: self._arrive,
+            AttemptEnded: self._ended,
+            CounterReplied: self._replied,
+            RequestCancelled: self._gone,
+            EndpointsListed: self._listed,
+            TimerFired: self._turn,
         }
 
-    def handle(self, now: float, event: io.Event) -> list[io.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event; return the actions that it calls for."""
         self.actions, self.began = [], now if self.began < 0 else self.began
         self.now = now
         if (decide := self.deciders.get(type(event))) is not None:
             decide(now, event)
-        if self.settings.subscribe and isinstance(event, io.Started | io.ListLost):
-            self.actions.append(io.SubscribeServers())
+        if self.settings.subscribes_to_endpoints and isinstance(event, Started | EndpointListLost):
+            self.actions.append(WatchEndpoints())
         # Guards the processor: timers run only while something waits, as most gateways are idle.
         if max(now + TURN_MS, self.wake) < self.turn_at:
             self.turn_at = max(now + TURN_MS, self.wake)
-            self.actions.append(io.SetTimer(TURN, self.turn_at - now))
+            self.actions.append(SetTimer(TURN, self.turn_at - now))
         if not self.housed and (self.customers or self.records.tables or self.records.left):
             self.housed = True
-            self.actions.append(io.SetTimer(HOUSE, TURN_MS if self.unvisited else HOUSE_MS))
+            self.actions.append(SetTimer(HOUSE, TURN_MS if self.unvisited else HOUSE_MS))
         return self.actions
 
-    def take(self, now: float, events: Iterable[io.Event]) -> list[io.Action]:
+    def take(self, now: float, events: Iterable[Event]) -> list[Action]:
         """Take all that has come in by now; return the actions in the order of the events."""
         return [action for event in events for action in self.handle(now, event)]
 
-    def _arrive(self, now: float, e: io.RequestArrived) -> None:
-        kind, c = self.settings.classes[e.request_class], self._customer(now, e)
-        precedence = self.precedences[e.request_class]
+    def _arrive(self, now: float, e: RequestArrived) -> None:
+        kind, c = self.settings.request_classes[e.class_index], self._customer(now, e)
+        precedence = self.precedences[e.class_index]
         request = Request.of(e, c, kind, now, self.ages.of(e, kind), precedence)
-        self.requests[e.request], units = request, request.units
-        repeat = e.retry or e.expires_in_ms + e.held_ms < kind.aim_ms
+        self.requests[e.request_id], units = request, request.units
+        repeat = e.is_retry or e.expires_in_ms + e.queued_ms < kind.latency_objective_ms
         c.note_demand(now, 0.0 if repeat else units)  # guards the blocks against clients that repeat
         self._credit(c, now)
         self.worth += FLEET_WEIGHT * (precedence - self.worth)
@@ -115,8 +146,12 @@
         place, blind = c.out, self.crowd.silent
         for request in list(c.queue):
             most = c.reach(self._latest(request), blind * now) - request.units * (not blind) + 1e-6
-            most = most if c.shared else max(c.plan.rate * HOLD * request.kind.aim_ms / 1000, c.estimate)
-            short = c.plan.rate > 0 and ahead > most and not self._counted(request)
+            most = (
+                most
+                if c.shared
+                else max(c.plan.rate_per_s * HOLD * request.kind.latency_objective_ms / 1000, c.estimate)
+            )
+            short = c.plan.rate_per_s > 0 and ahead > most and not self._counted(request)
             wait = self.usual * (place + 1 - c.at_once) / c.at_once if c.at_once else 0.0
             if not request.sends and (short or now + wait > self._latest(request)):
                 self._end(request)
@@ -126,15 +161,15 @@
     def _rouse(self, c: Customer, at: float) -> None:
         self.active[c.name], c.wake, self.wake = c, min(c.wake, at), min(self.wake, at)
 
-    def _customer(self, now: float, e: io.RequestArrived) -> Customer:
-        if c := self.customers.pop(e.customer, None):
-            self.customers[e.customer] = c  # the one that was seen last stands last
+    def _customer(self, now: float, e: RequestArrived) -> Customer:
+        if c := self.customers.pop(e.tenant, None):
+            self.customers[e.tenant] = c  # the one that was seen last stands last
             return c
         c = Customer.fresh(e, self.settings, now, now - self.began, self.mean)
-        c.shared, self.customers[e.customer] = ledger.shared(c.plan, c.doors, self.settings), c
+        c.shared, self.customers[e.tenant] = ledger.shared(c.plan, c.doors, self.settings), c
         c.store = 0.0 if now < self.records.given_way_until else c.room()
         c.balance = c.unreported = 0.0 if c.shared else c.store / c.doors
-        c.recall(self.records.take(e.customer, now))
+        c.recall(self.records.take(e.tenant, now))
         if len(self.customers) > HOT_MOST:  # guards the memory: of one that has nothing under way, a record
             for old in list(islice(self.customers.values(), 8)):
                 self._part(old, now)
@@ -151,31 +186,33 @@
     def credit(self, customer: str, now: float) -> tuple[float, float] | None:
         """Units on hand here less what waits, with this door's share of what the counter told is left, and
         this door's share of the rate, units/s; nothing of one that is not known or has no quota."""
-        if (c := self.customers.get(customer)) is None or not c.plan.rate:
+        if (c := self.customers.get(customer)) is None or not c.plan.rate_per_s:
             return None
-        return c.balance + max(c.block, c.told_here(now, self.backoff)) - c.queued, c.plan.rate / c.doors
+        return c.balance + max(
+            c.block, c.told_here(now, self.backoff)
+        ) - c.queued, c.plan.rate_per_s / c.doors
 
-    def need(self, kind: io.RequestClass) -> float:
+    def need(self, kind: RequestClass) -> float:
         """Milliseconds of the aim that must be left when a request is sent."""
-        return min(NEED * self.usual, NEED_MOST * kind.aim_ms)
+        return min(NEED * self.usual, NEED_MOST * kind.latency_objective_ms)
 
     def _credit(self, c: Customer, now: float) -> None:
         """Credit rate times cycle from the block; this door's share of it while the counter is silent."""
         plan, elapsed, c.credited = c.plan, now - c.credited, now
         while c.lent and c.lent[0] <= now:  # nobody tells when an admitted request has ended
             c.out, _ = c.out - 1, c.lent.pop(0)
-        part = min(c.block, plan.rate * max(0.0, min(elapsed, now - c.ready)) / 1000)
+        part = min(c.block, plan.rate_per_s * max(0.0, min(elapsed, now - c.ready)) / 1000)
         c.block, c.balance = c.block - part, c.balance + part
-        if self.backoff or not self.settings.counter:
-            share = max(0.0, min(plan.rate * elapsed / 1000, c.room() - c.balance * c.doors) / c.doors)
+        if self.backoff or not self.settings.has_counter:
+            share = max(0.0, min(plan.rate_per_s * elapsed / 1000, c.room() - c.balance * c.doors) / c.doors)
             c.balance, c.unreported, c.blind = c.balance + share, c.unreported + share, c.blind + share
-        filled = c.ceiling + plan.ceiling_rate * (now - c.ceiling_at) / 1000 / c.doors
+        filled = c.ceiling + plan.ceiling_rate_per_s * (now - c.ceiling_at) / 1000 / c.doors
         c.ceiling, c.ceiling_at = min(plan.ceiling_burst / c.doors, filled), now
 
     def _chance(self, request: Request, repeat: bool) -> bool:
         """Whether the counter is asked.  A request on a shared store waits for its word; a crowded counter is
         asked for some of them, as much more for each, and fewer others go where few of them get in."""
-        c, cost = request.customer, request.customer.plan.over_cost
+        c, cost = request.customer, request.customer.plan.over_quota_cost_ratio
         if not c.shared or c.balance >= request.units or self._counted(request):
             return True
         drawn, request.barred = self.random.random() < self.crowd.sampling_rate, not self.backoff
@@ -190,11 +227,11 @@
         but not blind: a door's share of the rate brings that in minutes, and no dear class got in at all."""
         c, blind = request.customer, self.crowd.silent and not request.customer.broke
         least = request.units - 1e-6 if request.barred else max(0.0, request.units - c.estimate) * (not blind)
-        lacks = least - c.balance if c.plan.rate and not request.sends else 0.0
+        lacks = least - c.balance if c.plan.rate_per_s and not request.sends else 0.0
         lacks = 0.0 if lacks > 0 and self._counted(request) else lacks
         return inf if c.at_once and c.out >= c.at_once else lacks
 
-    def _turn(self, now: float, e: io.TimerFired) -> None:
+    def _turn(self, now: float, e: TimerFired) -> None:
         if e.tag == HOUSE:
             self._keep_house(now)
         if e.tag != TURN or now < self.turn_at - 1.0:  # or set for later, before something came up
@@ -224,14 +261,18 @@
         if (lacks := self._lacks(request)) <= 0:
             return now
         back = c.lent[0] if c.lent else inf
-        credit = max(c.plan.rate / 1000, 1e-9)  # guards a plan that has a cap on attempts only
-        blind = now + lacks / credit * c.doors if self.backoff or not self.settings.counter else inf
+        credit = max(c.plan.rate_per_s / 1000, 1e-9)  # guards a plan that has a cap on attempts only
+        blind = now + lacks / credit * c.doors if self.backoff or not self.settings.has_counter else inf
         leased = max(c.ready, now) + lacks / credit if c.block >= lacks else inf
         # Guards a queue behind an empty store: nothing else asks the counter anew before it is too late.
         refill = c.store_at + 1000 * (min(lacks, c.estimate) - c.store) / credit
         silent = self.backoff or c.calling or c.window < 0
         ask = inf if silent else max(now + TURN_MS, refill, c.called + ASK_MS)
-        soft = now + SPARE_WAIT * request.kind.aim_ms if c.plan.over_worth > c.plan.over_cost else inf
+        soft = (
+            now + SPARE_WAIT * request.kind.latency_objective_ms
+            if c.plan.over_quota_value_ratio > c.plan.over_quota_cost_ratio
+            else inf
+        )
         return min(blind, leased, ask, soft, back, self._latest(request))
 
     def _latest(self, request: Request) -> float:
@@ -240,8 +281,14 @@
     def _lend(self, now: float) -> None:
         """Quiet customers' unspent units go to soft plans' backlogs while the back end is at ease."""
         ease = self.spare > 0 and now - self.full_at >= HOUSE_MS and self.usual <= EASE * self.aim
-        for c in [c for c in self.active.values() if ease and c.plan.over_worth > c.plan.over_cost]:
-            for request in [r for r in c.queue if now - r.arrived > SPARE_WAIT * r.kind.aim_ms][:1]:
+        for c in [
+            c
+            for c in self.active.values()
+            if ease and c.plan.over_quota_value_ratio > c.plan.over_quota_cost_ratio
+        ]:
+            for request in [r for r in c.queue if now - r.arrived > SPARE_WAIT * r.kind.latency_objective_ms][
+                :1
+            ]:
                 if self._send(request, now, charge=False):
                     self.spare -= request.units
                     request.customer.unqueue(request)
@@ -253,7 +300,7 @@
             self._rank(now)
             for name, c in list(self.calls.items()):
                 if now - c.called > CALL_AGE * self.settings.counter_wait_ms + HOUSE_MS:  # none comes
-                    self._replied(now, io.CounterReplied(name, io.Outcome.TIMEOUT, 0.0, now - c.called))
+                    self._replied(now, CounterReplied(name, Outcome.TIMEOUT, 0.0, now - c.called))
             self.unvisited = list(self.customers.values())
         some, self.unvisited = self.unvisited[:VISITS], self.unvisited[VISITS:]  # guards the others' turn
         self.records.sweep(now, 16 * VISITS)
@@ -273,7 +320,7 @@
     def _send(self, request: Request, now: float, charge: bool = True) -> bool:
         """Send to the best server; False where none has room or the ceiling is reached."""
         c, kind, first = request.customer, request.kind, request.sends == 0
-        full = first and c.plan.ceiling_rate > 0 and c.ceiling < request.units
+        full = first and c.plan.ceiling_rate_per_s > 0 and c.ceiling < request.units
         if request.admission and not full:
             return self._admitted(request, now, charge)
         full |= len(self.attempts) >= self.flight.limit  # guards the backends against what all have out
@@ -282,15 +329,18 @@
         if server is None:
             self.blocked |= not request.ran and not full
             return False
-        patience = max(PATIENCE[0] * kind.aim_ms, PATIENCE[1] * self.usual)
-        repeat = kind.effect is not io.Effect.UNSAFE and request.sends + 1 < self.settings.attempt_limit
+        patience = max(PATIENCE[0] * kind.latency_objective_ms, PATIENCE[1] * self.usual)
+        repeat = (
+            kind.idempotency is not Idempotency.NOT_IDEMPOTENT
+            and request.sends + 1 < self.settings.max_attempts
+        )
         timed, begin = repeat and now + patience + self.usual < request.due, request.repeat_by - now
-        self.actions.append(io.SendAttempt(request.ident, server.info.server, patience * timed, begin))
+        self.actions.append(SendAttempt(request.ident, server.info.name, patience * timed, begin))
         attempt = Attempt(request, server, request.units / self.mean, now)
         self.attempts[request.ident, request.sends] = attempt
-        request.sends, request.tried = request.sends + 1, server.info.server
+        request.sends, request.tried = request.sends + 1, server.info.name
         server.load, c.out = server.load + attempt.load, c.out + 1
-        health.sent(server, now, io.REST * self.settings.idle_ms)
+        health.sent(server, now, IDLE_REUSE_RATIO * self.settings.idle_timeout_ms)
         if first:
             self._charge(request, now, charge)
         return True
@@ -299,7 +349,7 @@
         """Take a try's units, whole; a keyed one that another door has counted takes none."""
         c, counted = request.customer, self._counted(request)
         if request.key:
-            self.keys.count(c.name, request.key, request.door, now, request.kind.window_ms)
+            self.keys.count(c.name, request.key, request.door, now, request.kind.idempotency_window_ms)
         c.ceiling -= 0.0 if counted else request.units
         request.charged = 0.0 if counted else request.units * charge
         c.balance -= request.charged
@@ -315,24 +365,31 @@
         c.out += 1
         c.lent.append(max(now + self.usual, c.lent[-1] if c.lent else 0.0))
         self.requests.pop(request.ident, None)
-        self.actions.append(io.Admit(request.ident))
+        self.actions.append(AdmitRequest(request.ident))
         return True
 
     def _pick(self, request: Request, now: float, home: int | None) -> Server | None:
         """Gage's node scheduler among a few servers of one group drawn by size, as hundreds choose alike:
         least outstanding load against capacity, corrected by health and by what a new connection costs."""
         best, lowest, load = None, inf, request.units / self.mean
-        lasts, idle = health.memory(self.gap, len(self.servers)), io.REST * self.settings.idle_ms
-        opening = self.settings.handshake * request.kind.aim_ms  # its worth is lost over that time
-        cold, kind = self._admit(request, now) if self.cold else [], request.kind.group
+        lasts, idle = (
+            health.memory(self.gap, len(self.servers)),
+            IDLE_REUSE_RATIO * self.settings.idle_timeout_ms,
+        )
+        opening = (
+            self.settings.handshake_cost * request.kind.latency_objective_ms
+        )  # its worth is lost over that time
+        cold, kind = self._admit(request, now) if self.cold else [], request.kind.deduplication_scope
         for pool, sizes in self.pools:
             if home is not None:
                 pool, cold = ([s for s in some if group(s.info, kind) == home] for some in (pool, cold))
-                sizes = list(accumulate(s.info.size for s in pool))
+                sizes = list(accumulate(s.info.relative_capacity for s in pool))
             for s in cold + (self.random.choices(pool, cum_weights=sizes, k=CHOICES) if pool else []):
                 cost = inf if s.load and s.load + load > s.limit else 1.0
                 cost *= health.looks(s, now, self.usual, lasts, request.tried, idle, opening)
-                cost *= (load + s.load * self.size / s.info.size) / (1 if s.warm >= 1 else CHOICES)
+                cost *= (load + s.load * self.size / s.info.relative_capacity) / (
+                    1 if s.warm >= 1 else CHOICES
+                )
                 cost *= (1.0 if s.info.zone == self.settings.zone else FAR) + JITTER * self.random.random()
                 best, lowest = (s, cost) if cost < lowest else (best, lowest)
             if best is not None and best.failing < WIDEN:
@@ -351,8 +408,10 @@
         gateway saves SAVED of a window, a restarted one none: KEEP x (1 + SAVED) = 0.6 at most, on average.
         The rest is for chance, dear requests not told, slow spells, and sends before the list tells."""
         self._measure(now)
-        rate = KEEP * self.settings.fall_multiple * self.work / self.filled * self.shares[-1]
-        allowed = min(self.allowed + rate * (now - self.allowed_at), rate * SAVED * self.settings.fall_ms)
+        rate = KEEP * self.settings.overload_multiple * self.work / self.filled * self.shares[-1]
+        allowed = min(
+            self.allowed + rate * (now - self.allowed_at), rate * SAVED * self.settings.overload_window_ms
+        )
         self.allowed, self.allowed_at = max(0.0, allowed - request.units), now
         passes = self.random.random() * request.units < allowed
         return self.random.choices(self.cold, cum_weights=self.shares) if passes else []
@@ -368,15 +427,17 @@
         """Groups of servers that it may go to, in order; None: any.  What may have run goes only where its
         repeat is dropped.  A key's first try goes to its home, as a retry through another limiter will."""
         kind, on = request.kind, request.ran_on
-        keyed = request.ran or (request.key and kind.group is not io.Group.ALL)
-        if kind.effect is io.Effect.SAFE or not keyed:
+        keyed = request.ran or (request.key and kind.deduplication_scope is not DeduplicationScope.ALL)
+        if kind.idempotency is Idempotency.IDEMPOTENT or not keyed:
             return [None]
         if not request.ran:
-            return homes(request.key, {group(s.info, kind.group) for s in self.servers.values()})
-        return [] if on is None or now >= request.repeat_by else [group(on, kind.group)]
+            return homes(
+                request.key, {group(s.info, kind.deduplication_scope) for s in self.servers.values()}
+            )
+        return [] if on is None or now >= request.repeat_by else [group(on, kind.deduplication_scope)]
 
-    def _ended(self, now: float, e: io.AttemptEnded) -> None:
-        if (attempt := self.attempts.pop((e.request, e.attempt), None)) is None:
+    def _ended(self, now: float, e: AttemptEnded) -> None:
+        if (attempt := self.attempts.pop((e.request_id, e.attempt_number), None)) is None:
             return
         request, server, c = attempt.request, attempt.server, attempt.request.customer
         c.out, server.load = c.out - 1, max(0.0, server.load - attempt.load)
@@ -387,14 +448,14 @@
             c.estimate += COST_WEIGHT * (e.true_units - c.estimate)
             self.mean += FLEET_WEIGHT * (e.true_units - self.mean)
             c.balance += request.charged - e.true_units if request.charged else 0.0
-        if e.final or e.request not in self.requests:
-            self.requests.pop(e.request, None)
+        if e.request_finished or e.request_id not in self.requests:
+            self.requests.pop(e.request_id, None)
             return
         if e.outcome not in NEVER_RAN and not request.ran:
             request.ran, request.ran_at, request.ran_on = True, attempt.sent, server.info
-        free = e.outcome in (io.Outcome.CONNECT_FAILED, io.Outcome.MOOT)  # nothing reached a server
-        spent = request.sends >= self.settings.attempt_limit or (self.retries < 1 and not free)
-        spent |= e.outcome is io.Outcome.TIMEOUT and self.random.random() > self.open  # guards a jam
+        free = e.outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # nothing reached a server
+        spent = request.sends >= self.settings.max_attempts or (self.retries < 1 and not free)
+        spent |= e.outcome is Outcome.TIMEOUT and self.random.random() > self.open  # guards a jam
         if spent or now > self._latest(request):
             self._end(request)
         else:
@@ -402,12 +463,14 @@
             if not self._send(request, now):
                 self._enqueue(request, now)
 
-    def _judge(self, now: float, s: Server, e: io.AttemptEnded, request: Request) -> None:
+    def _judge(self, now: float, s: Server, e: AttemptEnded, request: Request) -> None:
         self.blocked = False
-        if e.outcome in (io.Outcome.MOOT, io.Outcome.CANCELLED):
+        if e.outcome in (Outcome.NOT_SENT, Outcome.CANCELLED):
             return
-        aim, good = request.kind.aim_ms, e.outcome is io.Outcome.OK
-        self.retries = min(retry_budget.capacity(self.settings.gateways), self.retries + RETRY_EARN * good)
+        aim, good = request.kind.latency_objective_ms, e.outcome is Outcome.OK
+        self.retries = min(
+            retry_budget.capacity(self.settings.limiter_count), self.retries + RETRY_EARN * good
+        )
         units = e.true_units or request.units
         self._measure(now, units * (good and s.serving and s.warm >= 1))
         size = 0.5 + 0.5 * units / self.mean
@@ -415,41 +478,43 @@
         self.gap += FLEET_WEIGHT * (min(now - self.judged, HOUSE_MS) - self.gap)
         lasts, self.judged = health.memory(self.gap, len(self.servers)), now
         health.judge(s, now, e.outcome, latency, self.usual, lasts)
-        if e.outcome in io.JUDGED and s.warm >= 1:  # a cold server is slow with nothing in line
-            late = e.outcome is io.Outcome.FULL or e.elapsed_ms >= LATE * aim
+        if e.outcome in LOAD_SIGNALS and s.warm >= 1:  # a cold server is slow with nothing in line
+            late = e.outcome is Outcome.REJECTED or e.elapsed_ms >= LATE * aim
             self.open = max(LEAST, self.open * SHUT) if late else min(1.0, self.open + OPEN)
             self.flight.on_answer(late, len(self.attempts), self.gap)
         self.usual += good * FLEET_WEIGHT * (latency - self.usual)
-        self.full_at = now if e.outcome is io.Outcome.FULL else self.full_at
+        self.full_at = now if e.outcome is Outcome.REJECTED else self.full_at
         health.adapt_limit(s, now, good, e.elapsed_ms, aim)
 
     def _end(self, request: Request) -> None:
         """Final answer: refused where a further try is provably harmless, else failed."""
         request.customer.unqueue(request)
-        harmless = not request.ran or request.kind.repeatable
+        harmless = not request.ran or request.kind.is_retriable_anywhere
         self.requests.pop(request.ident, None)
-        advice = self._advice(request) if harmless and self.settings.retry_after else 0.0
-        self.actions.append(io.Refuse(request.ident, advice) if harmless else io.Fail(request.ident))
+        advice = self._advice(request) if harmless and self.settings.sends_retry_after else 0.0
+        self.actions.append(RejectRequest(request.ident, advice) if harmless else FailRequest(request.ident))
 
     def _advice(self, request: Request) -> float:
         """When to come back: once the rate covers queue and request, or the servers may be at ease."""
         c = request.customer
-        short = max(0.0, c.queued + request.units - c.balance) / c.plan.rate if c.plan.rate else 0.0
+        short = (
+            max(0.0, c.queued + request.units - c.balance) / c.plan.rate_per_s if c.plan.rate_per_s else 0.0
+        )
         wait = max(1000 * short, self.usual / self.open)
         return min(self.settings.max_retry_after_ms, max(1.0, wait))
 
-    def _gone(self, now: float, e: io.RequestGone) -> None:
-        if request := self.requests.pop(e.request, None):
+    def _gone(self, now: float, e: RequestCancelled) -> None:
+        if request := self.requests.pop(e.request_id, None):
             request.customer.unqueue(request)
-            if self.settings.cancel and (e.request, request.sends - 1) in self.attempts:
-                self.actions.append(io.CancelAttempt(e.request, request.sends - 1))
+            if self.settings.cancels_attempts and (e.request_id, request.sends - 1) in self.attempts:
+                self.actions.append(CancelAttempt(e.request_id, request.sends - 1))
 
     def _lease(self, c: Customer, now: float, wanted: bool) -> None:
         """Take a block ahead when what is on hand covers less than the queue and one more request.  From a
         shared store: what the queue needs; what nobody waits for goes back at once."""
         if c.shared and not (c.queue or self.backoff):
             c.give_back()
-        hand, rate, owed = c.balance + c.block, c.plan.rate, OWED if c.shared else c.estimate
+        hand, rate, owed = c.balance + c.block, c.plan.rate_per_s, OWED if c.shared else c.estimate
         covered = not wanted or hand - c.queued >= (0.0 if c.shared else c.estimate)
         if not rate or (covered and abs(c.unreported) < owed):
             return
@@ -464,7 +529,7 @@
     def _call(self, c: Customer, now: float, ask: float) -> None:
         """Add to the customer's count what it was granted unseen and what is asked for now."""
         most, (window, began) = 1 if self.backoff else CALLS_OUT, ledger.window(c.name * c.shared, now)
-        if c.calling or now < self.crowd.next_call_at or len(self.calls) >= most * self.settings.counter:
+        if c.calling or now < self.crowd.next_call_at or len(self.calls) >= most * self.settings.has_counter:
             return
         c.turn(window, began)
         c.amount, c.asked, c.balance = c.unreported + ask, ask, c.balance + min(0.0, ask)
@@ -472,19 +537,19 @@
 
     def _count(self, c: Customer, now: float, name: int, amount: float) -> None:
         c.calling, c.called, self.calls[name] = True, now, c
-        self.actions.append(io.AddToCounter(name, amount, ledger.LIFE_MS))
+        self.actions.append(AddToCounter(name, amount, ledger.LIFE_MS))
 
-    def _replied(self, now: float, e: io.CounterReplied) -> None:
-        if (c := self.calls.pop(e.name, None)) is None:
+    def _replied(self, now: float, e: CounterReplied) -> None:
+        if (c := self.calls.pop(e.counter_key, None)) is None:
             return
         c.calling = False
         self._rouse(c, now)
         self._credit(c, now)
         # A spoilt answer: surely added, by a counter that lives; the next total tells what the others used.
-        total = c.total + c.amount if e.outcome is io.Outcome.ERROR else e.total
-        if e.outcome not in (io.Outcome.OK, io.Outcome.ERROR):
+        total = c.total + c.amount if e.outcome is Outcome.ERROR else e.total
+        if e.outcome not in (Outcome.OK, Outcome.ERROR):
             # Perhaps added: no grant, no repeat.  Surely not added: what was owed to the counter stays owed.
-            c.unreported = (c.unreported + min(0.0, c.asked)) * (e.outcome is not io.Outcome.TIMEOUT)
+            c.unreported = (c.unreported + min(0.0, c.asked)) * (e.outcome is not Outcome.TIMEOUT)
             self.crowd.on_failure(now)
             c.free()
             return
@@ -508,24 +573,24 @@
         c.broke, asked = c.store < 0, max(0.0, c.asked)
         self.crowd.record_grant(not c.broke, asked > 0)
         short = min(asked, max(0.0, -c.store))
-        back = min(short, max(0.0, -c.store - c.plan.rate * HOLD * self.aim / 1000))
+        back = min(short, max(0.0, -c.store - c.plan.rate_per_s * HOLD * self.aim / 1000))
         c.balance += asked - short
         c.block, c.unreported = c.block + short - back, c.unreported - back
-        c.ready = now + 1000 * max(0.0, -c.store - back - c.block) / c.plan.rate
+        c.ready = now + 1000 * max(0.0, -c.store - back - c.block) / c.plan.rate_per_s
         if c.shared:
             c.store += back
             self._release(c, now)
             self._trim(c, now)
             self._lease(c, now, False)
 
-    def _listed(self, now: float, e: io.ServersListed) -> None:
+    def _listed(self, now: float, e: EndpointsListed) -> None:
         for s in self.servers.values():
-            s.serving = not e.full
-        for info in e.servers:
-            s = self.servers.setdefault(info.server, Server(info, self.usual, START_LIMIT, now))
-            if info.started_ms > s.info.started_ms:
+            s.serving = not e.is_complete
+        for info in e.endpoints:
+            s = self.servers.setdefault(info.name, Server(info, self.usual, START_LIMIT, now))
+            if info.started_at > s.info.started_at:
                 health.renew(s, self.usual, START_LIMIT)
-            s.info, s.serving = info, info.state is io.State.SERVING
+            s.info, s.serving = info, info.state is EndpointState.SERVING
         self.servers = {name: s for name, s in self.servers.items() if s.serving}
         self._rank(now)
 
@@ -535,13 +600,15 @@
         self.allowed, self.allowed_at = (self.allowed, self.allowed_at) if self.cold else (0.0, now)
         serving, told = list(self.servers.values()), self.settings
         for s in serving:
-            age = max(0.0, now - s.info.started_ms) / told.cold_ms if s.info.started_ms else 1.0
-            s.warm = min(1.0, told.cold_from + (1 - told.cold_from) * age)
+            age = max(0.0, now - s.info.started_at) / told.slow_start_ms if s.info.started_at else 1.0
+            s.warm = min(1.0, told.slow_start_initial_ratio + (1 - told.slow_start_initial_ratio) * age)
         self.serving, self.cold = [s for s in serving if s.warm >= 1], [s for s in serving if s.warm < 1]
-        drawn = subsetting.subset(self.serving, lambda s: s.info.server, told.index, told.gateways, self.gap)
-        self.pools = [(some, list(accumulate(s.info.size for s in some))) for some in drawn]
-        self.shares = list(accumulate(s.info.size * s.warm for s in self.cold))
-        self.size = sum(s.info.size for s in serving) / max(1, len(serving))
+        drawn = subsetting.subset(
+            self.serving, lambda s: s.info.name, told.limiter_index, told.limiter_count, self.gap
+        )
+        self.pools = [(some, list(accumulate(s.info.relative_capacity for s in some))) for some in drawn]
+        self.shares = list(accumulate(s.info.relative_capacity * s.warm for s in self.cold))
+        self.size = sum(s.info.relative_capacity for s in serving) / max(1, len(serving))
         if serving and not self.filled:  # at first the least: a server does one mean request within the aim
             self.filled = CARRIED_MS * self.size
-            self.work = CARRIED_MS * self.mean / self.aim / self.settings.gateways
+            self.work = CARRIED_MS * self.mean / self.aim / self.settings.limiter_count
--- a/scalelb/routing/core.py
+++ b/scalelb/routing/core.py
@@ -15,7 +15,32 @@
 from typing import Any, Protocol
 
 from scalelb.fairness import Ask, Credit, DoorSettings, FairDoor, Step
-from scalelb.routing import interface as io
+from scalelb.policy.actions import (
+    Action,
+    AddToCounter,
+    AdmitRequest,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+)
+from scalelb.policy.endpoints import Endpoint
+from scalelb.policy.events import (
+    LOAD_SIGNALS,
+    AttemptEnded,
+    CounterReplied,
+    EndpointsListed,
+    Event,
+    HealthCheckEnded,
+    Outcome,
+    RequestArrived,
+    RequestCancelled,
+    Started,
+    TimerFired,
+)
+from scalelb.policy.settings import Settings
 from scalelb.routing.control import Gateway
 from scalelb.routing.state import Request
 
@@ -94,7 +119,7 @@
     def probe(self, server: str) -> None:
         """Probe a server; `Core.probed` is due."""
 
-    def listed(self, servers: Iterable[io.ServerInfo], full: bool) -> None:
+    def listed(self, servers: Iterable[Endpoint], full: bool) -> None:
         """The list has changed."""
 
     def wake(self, at: float) -> None:
@@ -104,7 +129,7 @@
 class Replicas(Protocol):
     """What other limiters know, where there are links to them (`program/peering.py`)."""
 
-    def ran(self, customer: str, key: str) -> tuple[io.ServerInfo, float] | None:
+    def ran(self, customer: str, key: str) -> tuple[Endpoint, float] | None:
         """Where a try with this key may have run, and when it was sent there."""
 
     def sends(self, request: Request) -> None:
@@ -116,7 +141,7 @@
 
     def __init__(
         self,
-        settings: io.Settings,
+        settings: Settings,
         seed: int,
         ports: Ports,
         clock: Callable[[], float],
@@ -127,11 +152,11 @@
         self.fault = fault
         self.settings, self.ports, self.clock, self.limits = settings, ports, clock, limits
         self.gateway = Gateway(settings, seed)
-        most = settings.max_retry_after_ms if settings.retry_after else 1.0
+        most = settings.max_retry_after_ms if settings.sends_retry_after else 1.0
         self.door = FairDoor(door, most) if door is not None else None
         self.replicas: Replicas | None = None  # none: no links to other limiters
         self.looks_at = inf  # when the door is looked at next
-        self.inbox: list[io.Event] = [io.Started()]
+        self.inbox: list[Event] = [Started()]
         self.tickets: dict[int, Ticket] = {}
         self.timers: list[tuple[float, int, int, int]] = []  # when, order, tag or ident, attempt or a mark
         self.order = self.idents = 0
@@ -178,9 +203,9 @@
             self._soon()
             return ticket
         order = (ticket.ident, customer, plan, kind, left, units, doors, first_door, retry)
-        event = io.RequestArrived(*order, door, key, admission)
+        event = RequestArrived(*order, door, key, admission)
         if key and self.replicas is not None and (ran := self.replicas.ran(customer, key)) is not None:
-            event = replace(event, ran_on=ran[0], ran_at=ran[1])
+            event = replace(event, executed_on=ran[0], executed_at=ran[1])
         self.inbox.append(event)
         self._soon()
         return ticket
@@ -191,15 +216,15 @@
         """Guards the quotas, at every door: a set or units out of range would stay with the customer, whoever
         sent them, and a deadline without end would keep a request for good."""
         settings = self.settings
-        if not (0 <= kind < len(settings.classes) and 0 <= plan < len(settings.plans)):
+        if not (0 <= kind < len(settings.request_classes) and 0 <= plan < len(settings.plans)):
             raise OutOfRangeError("class or plan is not known")
-        if not (isfinite(units) and 0 < units <= (settings.most_units or units)):
-            raise OutOfRangeError(f"units: {units:g} is not above 0 and at most {settings.most_units:g}")
-        if not 1 <= doors <= settings.gateways:
-            raise OutOfRangeError(f"spread: {doors} is not one of 1 to {settings.gateways}")
-        if not 0 <= first_door < settings.gateways:
-            raise OutOfRangeError(f"first: {first_door} is not one of 0 to {settings.gateways - 1}")
-        most = self.limits.patience * settings.classes[kind].deadline_ms
+        if not (isfinite(units) and 0 < units <= (settings.max_units or units)):
+            raise OutOfRangeError(f"units: {units:g} is not above 0 and at most {settings.max_units:g}")
+        if not 1 <= doors <= settings.limiter_count:
+            raise OutOfRangeError(f"spread: {doors} is not one of 1 to {settings.limiter_count}")
+        if not 0 <= first_door < settings.limiter_count:
+            raise OutOfRangeError(f"first: {first_door} is not one of 0 to {settings.limiter_count - 1}")
+        most = self.limits.patience * settings.request_classes[kind].deadline_ms
         if not (isfinite(expires_ms) and expires_ms <= most):
             raise OutOfRangeError(f"deadline: {expires_ms:g} ms is not at most {most:g}")
 
@@ -224,7 +249,7 @@
     def fetched(
         self,
         ticket: Ticket,
-        outcome: io.Outcome,
+        outcome: Outcome,
         value: memoryview | None = None,
         report: Mapping[str, float] = NO_REPORT,
         units: float = 0.0,
@@ -239,35 +264,35 @@
             return
         ticket.out = False
         self._note(outcome.value)
-        if outcome is io.Outcome.OK and not ticket.done:
+        if outcome is Outcome.OK and not ticket.done:
             self._answer(ticket, Verdict.SERVED, value)
         elif ticket.first and not ticket.done:  # it broke and nothing of it has left: its time runs again
             self._timer(ticket.expires, ticket.ident, EXPIRY)
         self._ended(ticket, outcome, report, self._true_units(outcome, units), used_percent)
 
-    def _true_units(self, outcome: io.Outcome, units: float) -> float:
+    def _true_units(self, outcome: Outcome, units: float) -> float:
         """The units that settle a request, 0 where none were told.  Guards the quotas against an answer that
         tells units where none are settled, or more than a request can have."""
-        settles = self.settings.units_settled and outcome is io.Outcome.OK
-        return units if settles and 0 < units <= (self.settings.most_units or units) else 0.0
+        settles = self.settings.settles_true_units and outcome is Outcome.OK
+        return units if settles and 0 < units <= (self.settings.max_units or units) else 0.0
 
-    def counted(self, name: int, outcome: io.Outcome, total: float, elapsed_ms: float) -> None:
+    def counted(self, name: int, outcome: Outcome, total: float, elapsed_ms: float) -> None:
         """What became of a call to the counter."""
         self._note("counter " + outcome.value)
-        self.inbox.append(io.CounterReplied(name, outcome, total, elapsed_ms))
+        self.inbox.append(CounterReplied(name, outcome, total, elapsed_ms))
         self._soon()
 
     def probed(
-        self, server: str, outcome: io.Outcome, elapsed_ms: float, report: Mapping[str, float] = NO_REPORT
+        self, server: str, outcome: Outcome, elapsed_ms: float, report: Mapping[str, float] = NO_REPORT
     ) -> None:
         """What a probe found."""
-        self.inbox.append(io.ProbeEnded(server, outcome, elapsed_ms, report))
+        self.inbox.append(HealthCheckEnded(server, outcome, elapsed_ms, report))
         self._soon()
 
-    def listed(self, servers: tuple[io.ServerInfo, ...], full: bool) -> None:
+    def listed(self, servers: tuple[Endpoint, ...], full: bool) -> None:
         """The server list, or the entries that changed."""
         # The decisions first: what the back side gives up for it may not be sent to the same backend again.
-        self.inbox.append(io.ServersListed(servers, full))
+        self.inbox.append(EndpointsListed(servers, full))
         self.ports.listed(servers, full)
         self._soon()
 
@@ -300,7 +325,7 @@
             self.woken = self.timers[0][0]
             self.ports.wake(self.woken)
 
-    def _decide(self, events: list[io.Event], now: float) -> None:
+    def _decide(self, events: list[Event], now: float) -> None:
         """Hand events to the decisions and carry out what they return."""
         try:
             for action in self.gateway.take(now, events):
@@ -309,10 +334,10 @@
             self._note("fault")
             self.fault(error)
 
-    def _decide_fairly(self, door: FairDoor, events: list[io.Event], now: float) -> None:
+    def _decide_fairly(self, door: FairDoor, events: list[Event], now: float) -> None:
         """What ended comes first, then who waits, in the door's order, then who arrives."""
-        arrivals = [event for event in events if isinstance(event, io.RequestArrived)]
-        self._decide([event for event in events if not isinstance(event, io.RequestArrived)], now)
+        arrivals = [event for event in events if isinstance(event, RequestArrived)]
+        self._decide([event for event in events if not isinstance(event, RequestArrived)], now)
         for held, advice in door.overdue(now):
             self._turn_away(held.ask.ident, advice)
         self._release(door, now)
@@ -325,33 +350,33 @@
 
     def _release(self, door: FairDoor, now: float) -> None:
         while released := door.release(now, self.gateway.blocked):  # ends: the door empties
-            events: list[io.Event] = []
+            events: list[Event] = []
             for held in released:
                 waited = now - held.since
-                event: io.RequestArrived = held.item
+                event: RequestArrived = held.item
                 left = event.expires_in_ms - waited
-                events.append(replace(event, held_ms=waited, expires_in_ms=left))
+                events.append(replace(event, queued_ms=waited, expires_in_ms=left))
             self._decide(events, now)
 
-    def _let_in(self, door: FairDoor, event: io.RequestArrived, now: float) -> None:
+    def _let_in(self, door: FairDoor, event: RequestArrived, now: float) -> None:
         """Ask the door about one that arrives; it may give another's place to it."""
-        kind, gateway = self.settings.classes[event.request_class], self.gateway
-        ticket = self.tickets.get(event.request)
+        kind, gateway = self.settings.request_classes[event.class_index], self.gateway
+        ticket = self.tickets.get(event.request_id)
         if ticket is None or ticket.done:
             return
-        due = now + min(kind.aim_ms, event.expires_in_ms)
-        credit = self._credit(event.customer, now)
+        due = now + min(kind.latency_objective_ms, event.expires_in_ms)
+        credit = self._credit(event.tenant, now)
         ask = Ask(
-            ident=event.request,
-            customer=event.customer,
-            plan=event.plan,
+            ident=event.request_id,
+            customer=event.tenant,
+            plan=event.plan_index,
             units=event.units,
             latest=due - gateway.need(kind),
-            worth=kind.worth,
-            retry=event.retry,
+            worth=kind.priority_weight,
+            retry=event.is_retry,
             client=ticket.client,
-            known=gateway.knows(event.customer),
-            free=gateway.keys.counted(event.customer, event.key, 1 << event.door, now),
+            known=gateway.knows(event.tenant),
+            free=gateway.keys.counted(event.tenant, event.idempotency_key, 1 << event.listener, now),
         )
         ticket.size = 0.5 + 0.5 * event.units / gateway.mean
         step, advice, displaced = door.arrive(now, ask, credit, event)
@@ -360,7 +385,7 @@
         if step is Step.PASS:
             self._decide([event], now)
         elif step is Step.REFUSE:
-            self._turn_away(event.request, advice)
+            self._turn_away(event.request_id, advice)
 
     def _credit(self, customer: str, now: float) -> Credit | None:
         told = self.gateway.credit(customer, now)
@@ -369,12 +394,12 @@
     def _left(self, ticket: Ticket) -> None:
         """Whoever has the request, door or decisions, lets go of it."""
         if self.door is None or not self.door.gone(ticket.ident):
-            self.inbox.append(io.RequestGone(ticket.ident))
+            self.inbox.append(RequestCancelled(ticket.ident))
 
     def _turn_away(self, ident: int, advice: float) -> None:
         """Refuse what never met the decisions: nothing of it was charged or sent."""
         self._note("turned away")
-        self._final(ident, Verdict.REFUSED, advice if self.settings.retry_after else 0.0)
+        self._final(ident, Verdict.REFUSED, advice if self.settings.sends_retry_after else 0.0)
 
     def _sweep(self) -> None:
         """Guards the memory: where most timers are of requests long answered, those go."""
@@ -396,13 +421,13 @@
         while self.timers and self.timers[0][0] <= now:
             _, _, name, mark = heappop(self.timers)
             if mark == TIMER:
-                self.inbox.append(io.TimerFired(name))
+                self.inbox.append(TimerFired(name))
             elif mark == LOOK:
                 self.looks_at = inf
             elif (ticket := self.tickets.get(name)) is None:
                 continue
             elif mark == OVERFULL:
-                advice = self.settings.max_retry_after_ms if self.settings.retry_after else 0.0
+                advice = self.settings.max_retry_after_ms if self.settings.sends_retry_after else 0.0
                 self._answer(ticket, Verdict.REFUSED, None, advice)
                 self._note("overfull")
             elif mark == EXPIRY:
@@ -410,50 +435,56 @@
                     continue
                 expired.append(ticket)
                 if ticket.out:
-                    self._give_up(ticket, io.Outcome.TIMEOUT)
+                    self._give_up(ticket, Outcome.TIMEOUT)
             elif ticket.out and ticket.attempt == mark and not ticket.first:
-                self._give_up(ticket, io.Outcome.TIMEOUT)
+                self._give_up(ticket, Outcome.TIMEOUT)
         return expired
 
-    def _carry_out(self, action: io.Action, now: float) -> None:
-        if isinstance(action, io.SetTimer):
+    def _carry_out(self, action: Action, now: float) -> None:
+        if isinstance(action, SetTimer):
             self._timer(now + action.delay_ms, action.tag, TIMER)
-        elif isinstance(action, io.SendAttempt):
+        elif isinstance(action, SendAttempt):
             self._send(action, now)
-        elif isinstance(action, io.Admit):
+        elif isinstance(action, AdmitRequest):
             if self.door is not None:
-                self.door.admitted(now, action.request, self.gateway.usual)
-            self._final(action.request, Verdict.ADMITTED)
-        elif isinstance(action, io.Refuse):
-            self._final(action.request, Verdict.REFUSED, self._advice(action, now))
-        elif isinstance(action, io.Fail):
-            self._final(action.request, Verdict.FAILED)
-        elif isinstance(action, io.AddToCounter):
-            self.ports.count(action.name, action.amount, action.keep_ms)
-        elif isinstance(action, io.CancelAttempt):
-            ticket = self.tickets.get(action.request)
-            if ticket and ticket.out and ticket.attempt == action.attempt:
-                self._give_up(ticket, io.Outcome.CANCELLED)
-        elif isinstance(action, io.ProbeServer):
-            self.ports.probe(action.server)
-
-    def _advice(self, action: io.Refuse, now: float) -> float:
+                self.door.admitted(now, action.request_id, self.gateway.usual)
+            self._final(action.request_id, Verdict.ADMITTED)
+        elif isinstance(action, RejectRequest):
+            self._final(action.request_id, Verdict.REFUSED, self._advice(action, now))
+        elif isinstance(action, FailRequest):
+            self._final(action.request_id, Verdict.FAILED)
+        elif isinstance(action, AddToCounter):
+            self.ports.count(action.counter_key, action.amount, action.retention_ms)
+        elif isinstance(action, CancelAttempt):
+            ticket = self.tickets.get(action.request_id)
+            if ticket and ticket.out and ticket.attempt == action.attempt_number:
+                self._give_up(ticket, Outcome.CANCELLED)
+        elif isinstance(action, CheckHealth):
+            self.ports.probe(action.endpoint)
+
+    def _advice(self, action: RejectRequest, now: float) -> float:
         """When to come back: where there is a door, it makes a promise of what the decisions advise."""
-        if self.door is None or not self.settings.retry_after or action.request not in self.door.inside:
+        if (
+            self.door is None
+            or not self.settings.sends_retry_after
+            or action.request_id not in self.door.inside
+        ):
             return action.retry_after_ms
-        credit = self._credit(self.door.inside[action.request].ask.customer, now)
-        return self.door.refused(now, action.request, credit, action.retry_after_ms)
+        credit = self._credit(self.door.inside[action.request_id].ask.customer, now)
+        return self.door.refused(now, action.request_id, credit, action.retry_after_ms)
 
-    def _send(self, action: io.SendAttempt, now: float) -> None:
-        ticket = self.tickets.get(action.request)
+    def _send(self, action: SendAttempt, now: float) -> None:
+        ticket = self.tickets.get(action.request_id)
         if ticket is None or ticket.out:  # ended while the decisions were made: never sent
-            self.inbox.append(io.AttemptEnded(action.request, 0, action.server, io.Outcome.MOOT, 0.0, True))
+            self.inbox.append(
+                AttemptEnded(action.request_id, 0, action.endpoint, Outcome.NOT_SENT, 0.0, True)
+            )
             return
-        ticket.attempt, ticket.server, ticket.sent = ticket.attempt + 1, action.server, now
-        ticket.begin_by = now + action.begin_ms
+        ticket.attempt, ticket.server, ticket.sent = ticket.attempt + 1, action.endpoint, now
+        ticket.begin_by = now + action.must_begin_within_ms
         patience = ticket.expires - now
         if ticket.done or patience <= 0:
-            self._ended(ticket, io.Outcome.MOOT)
+            self._ended(ticket, Outcome.NOT_SENT)
             return
         if 0 < action.timeout_ms < patience:
             patience = action.timeout_ms
@@ -464,12 +495,12 @@
             self.replicas.sends(request)  # before it is sent: whoever dies in between has sent nothing
         if self.door is not None:
             self.door.sent(ticket.ident)
-            server = self.gateway.servers.get(action.server)
+            server = self.gateway.servers.get(action.endpoint)
             own = 2.0 * ticket.size - 1.0
             ticket.load = server.load - own if server is not None else 0.0
-        self.ports.fetch(ticket, action.server, patience)
+        self.ports.fetch(ticket, action.endpoint, patience)
 
-    def _give_up(self, ticket: Ticket, outcome: io.Outcome) -> None:
+    def _give_up(self, ticket: Ticket, outcome: Outcome) -> None:
         self.ports.drop(ticket)
         ticket.out = False
         self._note(outcome.value)
@@ -478,18 +509,18 @@
     def _ended(
         self,
         ticket: Ticket,
-        outcome: io.Outcome,
+        outcome: Outcome,
         report: Mapping[str, float] = NO_REPORT,
         units: float = 0.0,
         used_percent: float | None = None,
     ) -> None:
         # Of an answer that flowed, the first bytes tell how fast the server is, not the client.
         elapsed, ticket.first = (ticket.first or self.clock()) - ticket.sent, 0.0
-        if self.door is not None and outcome in io.JUDGED:
-            good = outcome is io.Outcome.OK
+        if self.door is not None and outcome in LOAD_SIGNALS:
+            good = outcome is Outcome.OK
             self.door.answered(self.clock(), ticket.server, elapsed, ticket.size, ticket.load, good)
         self.inbox.append(
-            io.AttemptEnded(
+            AttemptEnded(
                 ticket.ident,
                 ticket.attempt,
                 ticket.server,
--- a/scalelb/routing/handover.py
+++ b/scalelb/routing/handover.py
@@ -38,12 +38,12 @@
     gateway.now = now
     customers = {c.name: _leave(gateway, c, now) for c in gateway.customers.values()}
     servers = {
-        s.info.server: [s.info.started_ms, s.latency, s.failing, s.limit, s.marked, s.heard, s.misses, s.down]
+        s.info.name: [s.info.started_at, s.latency, s.failing, s.limit, s.marked, s.heard, s.misses, s.down]
         for s in gateway.servers.values()
     }
     figures = {name: getattr(gateway, name) for name in FIGURES}
-    plans = [plan for plan in gateway.settings.plans if plan.rate]
-    fill_ms = max((1000 * plan.burst / plan.rate for plan in plans), default=0.0)
+    plans = [plan for plan in gateway.settings.plans if plan.rate_per_s]
+    fill_ms = max((1000 * plan.burst / plan.rate_per_s for plan in plans), default=0.0)
     account = {
         "at": now,
         # Those let go have compact records, which name nobody: until all of them are full again, whoever is
@@ -104,7 +104,7 @@
     for name, entry in list(servers.items())[:SERVERS_MOST] if isinstance(servers, dict) else []:
         if not _all_within(entry, ((-inf, inf), *MARKS)):
             faulty += 1
-        elif (s := gateway.servers.get(name)) is not None and s.info.started_ms <= entry[0]:
+        elif (s := gateway.servers.get(name)) is not None and s.info.started_at <= entry[0]:
             s.latency, s.failing, s.limit, s.marked, s.heard = map(float, entry[1:6])
             s.marked, s.misses, s.down = min(s.marked, now), int(entry[6]), min(float(entry[7]), now + 8000.0)
             taken += 1
--- a/scalelb/routing/health.py
+++ b/scalelb/routing/health.py
@@ -10,13 +10,13 @@
 
 from math import exp
 
-from scalelb.routing import interface as io
+from scalelb.policy.events import Outcome
 from scalelb.routing.state import Server
 
 WEIGHT, PRIOR = 0.2, 1.5  # of the newest answer at least; answers that the usual latency counts for
 RECOVER_MS, LOOKS = 5000.0, 2.0  # marks fade in this time, or in that in which so many answers come
 FAIL_COST, DOWN_COST = 8.0, 1000.0  # a server that always fails, or can't be reached, looks so much slower
-KEPT = (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.FULL)  # outcomes that leave the connection open
+KEPT = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)  # outcomes that leave the connection open
 DOWN_MS = 500.0, 8000.0  # that one which can't be reached is left out: at first, doubled each time, at most
 LEAST_LIMIT = 0.2  # mean requests out at a server, at least
 GROW_BELOW = 0.2  # of the aim: a good answer within it lets the concurrency limit grow
@@ -30,16 +30,16 @@
     return max(RECOVER_MS, LOOKS * gap_ms * servers)
 
 
-def judge(s: Server, now: float, outcome: io.Outcome, latency: float, usual: float, lasts: float) -> None:
+def judge(s: Server, now: float, outcome: Outcome, latency: float, usual: float, lasts: float) -> None:
     """One account for every trouble: late, failing and silent look slow; unreachable ones are left out."""
     fade, s.marked = exp((s.marked - now) / lasts), now
     s.heard = s.heard * fade + 1
     weight = max(WEIGHT, 1 / (s.heard + PRIOR))
     old = usual + (s.latency - usual) * fade
     s.latency = old + weight * (latency - old)
-    s.failing = s.failing * fade * (1 - weight) + weight * (outcome is not io.Outcome.OK)
-    s.goods = s.goods + 1 if outcome is io.Outcome.OK else 0
-    s.misses = min(s.misses + 1, 8) if outcome is io.Outcome.CONNECT_FAILED else 0
+    s.failing = s.failing * fade * (1 - weight) + weight * (outcome is not Outcome.OK)
+    s.goods = s.goods + 1 if outcome is Outcome.OK else 0
+    s.misses = min(s.misses + 1, 8) if outcome is Outcome.CONNECT_FAILED else 0
     if outcome in KEPT:
         s.ready, s.used = s.ready + 1, now
     s.down = now + min(DOWN_MS[1], DOWN_MS[0] * 2 ** (s.misses - 1)) if s.misses else 0.0
@@ -60,7 +60,7 @@
 ) -> float:
     """How slow (ms) it is to be taken for; `opening`: what a new connection costs, as time."""
     fade = exp((s.marked - now) / lasts)
-    failing = s.failing * fade + (s.info.server == tried)
+    failing = s.failing * fade + (s.info.name == tried)
     slow = (usual + (s.latency - usual) * fade) * (1 + FAIL_COST * failing)
     slow += 0.0 if free(s, now, idle_ms) else opening
     return slow * (DOWN_COST if now < s.down else 1.0)
--- a/scalelb/routing/keys.py
+++ b/scalelb/routing/keys.py
@@ -7,15 +7,20 @@
 from hashlib import blake2b
 from typing import TypeVar
 
-from scalelb.routing import interface as io
+from scalelb.policy.endpoints import Endpoint
+from scalelb.policy.settings import DeduplicationScope
 
 KEYS_MOST = 8192
 G = TypeVar("G", int, int | None, str)
 
 
-def group(info: io.ServerInfo, kind: io.Group) -> int | None:
+def group(info: Endpoint, kind: DeduplicationScope) -> int | None:
     """The group of backends that drop each other's repeats; None: all do."""
-    return {io.Group.ALL: None, io.Group.ZONE: info.zone, io.Group.CELL: info.cell}[kind]
+    return {
+        DeduplicationScope.ALL: None,
+        DeduplicationScope.ZONE: info.zone,
+        DeduplicationScope.CELL: info.cell,
+    }[kind]
 
 
 def homes(key: str, groups: Iterable[G]) -> list[G]:
--- a/scalelb/routing/ledger.py
+++ b/scalelb/routing/ledger.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from zlib import crc32
 
-from scalelb.routing import interface as io
+from scalelb.policy.settings import Plan, Settings
 from scalelb.routing.state import Customer
 
 WINDOW_MS, LIFE_MS = 30_000.0, 60_000.0  # of a name: counted in, and remembered by the counter
@@ -21,16 +21,16 @@
 SPARE = 0.5  # units never lent: guards what is sent a moment before the rate has quite covered it
 
 
-def mean_units(settings: io.Settings) -> float:
+def mean_units(settings: Settings) -> float:
     """Units of a request, before any has told."""
-    return max(1.0, settings.most_units / 2)
+    return max(1.0, settings.max_units / 2)
 
 
-def shared(plan: io.Plan, doors: int, settings: io.Settings) -> bool:
+def shared(plan: Plan, doors: int, settings: Settings) -> bool:
     """Whether a customer's doors keep one store: a mean request at each would empty it.
 
     Follows from the settings and the customer's `spread` alone, so that all its doors agree."""
-    return settings.counter and plan.rate > 0 and doors * mean_units(settings) > plan.burst > 0
+    return settings.has_counter and plan.rate_per_s > 0 and doors * mean_units(settings) > plan.burst > 0
 
 
 def window(name: str, now: float) -> tuple[int, float]:
@@ -54,14 +54,14 @@
     return int.from_bytes(blake2b(f"{customer} {number}".encode(), digest_size=7).digest(), "big")
 
 
-def brim(plan: io.Plan) -> float:
+def brim(plan: Plan) -> float:
     """Units that a full store lends."""
     return plan.burst - min(SPARE, plan.burst / 4)
 
 
-def left(plan: io.Plan, since: float, now: float, total: float) -> float:
+def left(plan: Plan, since: float, now: float, total: float) -> float:
     """Units in the store at `now` when `total` was taken since the window began; over `brim`: run over."""
-    return brim(plan) + plan.rate * max(0.0, now - since) / 1000 - total
+    return brim(plan) + plan.rate_per_s * max(0.0, now - since) / 1000 - total
 
 
 def first(c: Customer, total: float) -> bool:
--- a/scalelb/routing/retry_age.py
+++ b/scalelb/routing/retry_age.py
@@ -10,7 +10,8 @@
 
 from __future__ import annotations
 
-from scalelb.routing import interface as io
+from scalelb.policy.events import RequestArrived
+from scalelb.policy.settings import RequestClass
 
 TOLERANCE_MS = 5.0  # time left differs by so much between first attempts, for their way to the limiter
 UNKNOWN_AGE = 0.5  # of the longest that a retry with the whole patience left may be old
@@ -22,15 +23,15 @@
     def __init__(self) -> None:
         self._patience: dict[int, float] = {}  # by the class's number
 
-    def of(self, arrived: io.RequestArrived, kind: io.RequestClass) -> float:
+    def of(self, arrived: RequestArrived, kind: RequestClass) -> float:
         """The time expected since the client's first attempt; 0 for a first attempt, before any of its class
         was seen, and where a late answer keeps a part of its worth, so that its age decides nothing."""
-        left = arrived.expires_in_ms + arrived.held_ms
-        patience = self._patience.get(arrived.request_class, 0.0)
-        if not arrived.retry:
-            self._patience[arrived.request_class] = max(patience, min(left, kind.deadline_ms))
+        left = arrived.expires_in_ms + arrived.queued_ms
+        patience = self._patience.get(arrived.class_index, 0.0)
+        if not arrived.is_retry:
+            self._patience[arrived.class_index] = max(patience, min(left, kind.deadline_ms))
             return 0.0
-        if kind.late_value > 0 or not patience:
+        if kind.late_value_ratio > 0 or not patience:
             return 0.0
         if left >= patience - TOLERANCE_MS:
             return UNKNOWN_AGE * (kind.deadline_ms - patience)
--- a/scalelb/routing/state.py
+++ b/scalelb/routing/state.py
@@ -8,7 +8,10 @@
 from scalelb.fairness.records import Record, Records
 from scalelb.overload.concurrency_limit import ConcurrencyLimit
 from scalelb.overload.counter_contention import CounterContention
-from scalelb.routing import interface as io
+from scalelb.policy.actions import Action
+from scalelb.policy.endpoints import Endpoint
+from scalelb.policy.events import RequestArrived
+from scalelb.policy.settings import Idempotency, Plan, RequestClass, Settings
 from scalelb.routing.keys import Keys
 from scalelb.routing.retry_age import RetryAge
 
@@ -22,7 +25,7 @@
 
     ident: int
     customer: Customer
-    kind: io.RequestClass
+    kind: RequestClass
     units: float
     due: float  # an answer after this is worth less
     arrived: float
@@ -33,7 +36,7 @@
     tried: str = ""  # the last server
     ran: bool = False  # an earlier attempt may have run
     ran_at: float = 0.0  # when the first such attempt was sent
-    ran_on: io.ServerInfo | None = None
+    ran_on: Endpoint | None = None
     door: int = 0
     key: str = ""
     admission: bool = False  # the asker sends it
@@ -41,9 +44,9 @@
     @classmethod
     def of(
         cls,
-        e: io.RequestArrived,
+        e: RequestArrived,
         customer: Customer,
-        kind: io.RequestClass,
+        kind: RequestClass,
         now: float,
         age_ms: float,
         precedence: float,
@@ -55,27 +58,31 @@
         granted its own units, and those of one that is overtaken would cover no other."""
         units = e.units or customer.estimate
         return cls(
-            ident=e.request,
+            ident=e.request_id,
             customer=customer,
             kind=kind,
             units=units,
-            due=now + min(kind.aim_ms - e.held_ms - age_ms, e.expires_in_ms),
+            due=now + min(kind.latency_objective_ms - e.queued_ms - age_ms, e.expires_in_ms),
             arrived=now,
             rank=(precedence, 0.0 if customer.shared else -units),
-            door=1 << e.door,
-            key=e.key,
-            admission=e.admission,
-            ran=e.ran_on is not None,
-            ran_at=e.ran_at,
-            ran_on=e.ran_on,
+            door=1 << e.listener,
+            key=e.idempotency_key,
+            admission=e.admission_only,
+            ran=e.executed_on is not None,
+            ran_at=e.executed_at,
+            ran_on=e.executed_on,
         )
 
     @property
     def repeat_by(self) -> float:
         """Before when a further attempt has to begin: never, once an unsafe one may have run."""
-        if not self.ran or self.kind.effect is io.Effect.SAFE:
+        if not self.ran or self.kind.idempotency is Idempotency.IDEMPOTENT:
             return inf
-        return self.ran_at + self.kind.window_ms if self.kind.effect is io.Effect.KEYED else -inf
+        return (
+            self.ran_at + self.kind.idempotency_window_ms
+            if self.kind.idempotency is Idempotency.IDEMPOTENCY_KEY
+            else -inf
+        )
 
 
 @dataclass(slots=True, eq=False)
@@ -83,7 +90,7 @@
     """A customer: queue, balance and average cost, and what the counter told of its store."""
 
     name: str
-    plan: io.Plan
+    plan: Plan
     doors: int
     at_once: int  # this door's share of the attempts out at once
     ceiling: float  # this door's share of the ceiling's store
@@ -122,15 +129,19 @@
 
     @classmethod
     def fresh(
-        cls, e: io.RequestArrived, settings: io.Settings, now: float, ran_ms: float, estimate: float
+        cls, e: RequestArrived, settings: Settings, now: float, ran_ms: float, estimate: float
     ) -> Customer:
         """One that was never seen, at a door that has run for so long; `estimate`: units of a request."""
-        plan, doors = settings.plans[e.plan], max(1, e.doors)
-        place = (settings.index - e.first_door) % settings.gateways
-        at_once = max(1, plan.at_once // doors + (place < plan.at_once % doors)) if plan.at_once else 0
+        plan, doors = settings.plans[e.plan_index], max(1, e.sharing_limiters)
+        place = (settings.limiter_index - e.first_limiter) % settings.limiter_count
+        at_once = (
+            max(1, plan.max_concurrent_attempts // doors + (place < plan.max_concurrent_attempts % doors))
+            if plan.max_concurrent_attempts
+            else 0
+        )
         # Guards the ceiling at a restart: a fresh share has filled only since this door began.
-        filled = min(plan.ceiling_burst, plan.ceiling_slack + plan.ceiling_rate * ran_ms / 1000)
-        return cls(e.customer, plan, doors, at_once, filled / doors, now, estimate)
+        filled = min(plan.ceiling_burst, plan.ceiling_slack + plan.ceiling_rate_per_s * ran_ms / 1000)
+        return cls(e.tenant, plan, doors, at_once, filled / doors, now, estimate)
 
     def note_demand(self, now: float, units: float) -> None:
         """Add units to the exponentially decaying demand rate (units/s); a request was seen now (ms)."""
@@ -149,7 +160,7 @@
 
     def filled(self, at: float) -> float:
         """What the store holds then by the counter's last word, without a bound."""
-        return self.store + self.plan.rate * max(0.0, at - self.store_at) / 1000
+        return self.store + self.plan.rate_per_s * max(0.0, at - self.store_at) / 1000
 
     def level(self, at: float, others: float, blind: float) -> float:
         """Units in the bucket when the counter answers (ms), before what this call asks for.
@@ -178,7 +189,7 @@
     def reach(self, at: float, blind: float = 0.0) -> float:
         """The most units that a shared store can have for this door until then, by the counter's word; while
         that is silent (`blind`: now) this door's share of the rate is all that comes."""
-        share = self.plan.rate * (at - blind) / 1000 / self.doors
+        share = self.plan.rate_per_s * (at - blind) / 1000 / self.doors
         return self.balance + self.block + (share if blind else min(self.plan.burst, self.filled(at)))
 
     def give_back(self) -> None:
@@ -206,14 +217,14 @@
         """What is to be kept of it.  Its store is full again once the rate has covered what is missing,
         by the counter's last word and by what this door has on hand; while the counter is `silent` only that
         tells, as what was credited since is in no word of it."""
-        rate, room = self.plan.rate, self.room()
+        rate, room = self.plan.rate_per_s, self.room()
         told = min(room, self.filled(now)) - max(0.0, self.unreported)
         hand = (self.balance + self.block) * self.doors
         missing = room - (told if self.shared and not silent else min(told, hand))
         full_at = now + 1000 * max(0.0, missing) / rate if rate else now
-        if self.plan.ceiling_rate:
+        if self.plan.ceiling_rate_per_s:
             below = self.plan.ceiling_burst - self.ceiling * self.doors
-            full_at = max(full_at, now + 1000 * max(0.0, below) / self.plan.ceiling_rate)
+            full_at = max(full_at, now + 1000 * max(0.0, below) / self.plan.ceiling_rate_per_s)
         balance = self.balance + self.block
         return Record(balance, self.unreported, told, self.total, self.window, now, full_at)
 
@@ -230,7 +241,7 @@
             return
         # Guards the quota: a record may be another limiter's copy, and no store holds more than its burst.
         held, self.unreported, self.store = record.balance, record.unreported, record.store
-        self.balance = min(held, self.plan.burst) if self.plan.rate else held
+        self.balance = min(held, self.plan.burst) if self.plan.rate_per_s else held
         self.total, self.window, self.store_at = record.total, record.window, record.at
         self.credited = self.ceiling_at = record.at
         self.ceiling = 0.0
@@ -241,7 +252,7 @@
 class Server:
     """A server as this gateway sees it."""
 
-    info: io.ServerInfo
+    info: Endpoint
     latency: float
     limit: float  # most load out
     marked: float  # when latency and failing were last judged
@@ -305,7 +316,7 @@
     wake: float = inf  # when a customer has to be looked at next
     turn_at: float = inf  # when the timer is due
     housed: bool = False  # whether house-keeping is due
-    actions: list[io.Action] = field(default_factory=list)
+    actions: list[Action] = field(default_factory=list)
 
     @property
     def backoff(self) -> float:
--- a/scalelb/transport/authz/front.py
+++ b/scalelb/transport/authz/front.py
@@ -88,7 +88,7 @@
             raise
         if not self.ready():
             return _denied(code_pb2.UNAVAILABLE, 503, "failed: not ready")
-        expires = self.core.settings.classes[asked.kind].deadline_ms
+        expires = self.core.settings.request_classes[asked.kind].deadline_ms
         if asked.expires_ms is not None:
             expires = min(expires, asked.expires_ms)
         if (left := context.time_remaining()) is not None:
--- a/scalelb/transport/counter.py
+++ b/scalelb/transport/counter.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Callable
 
+from scalelb.policy.events import Outcome
 from scalelb.protocol import MalformedError, http
-from scalelb.routing import interface as io
 from scalelb.transport.stream import Delay, Log, Reactor, Stream, dial, host_port
 
 CONNECTIONS_MOST = 24  # the counter holds 32 of a limiter and resets any more
 IDLE_MS = 4000.0  # the counter closes what has stood idle for longer
 LATE_MS = 1000.0  # how long a late answer is waited for before its connection is given up
 
-Counted = Callable[[int, io.Outcome, float, float], None]
+Counted = Callable[[int, Outcome, float, float], None]
 
 
 class Add:
@@ -59,10 +59,10 @@
                 add, self.add = self.add, None
                 if add is None:
                     raise MalformedError("an answer that nothing asked for")
-                outcome, total = io.Outcome.FULL, 0.0  # 503, 400, 404: nothing was added
+                outcome, total = Outcome.REJECTED, 0.0  # 503, 400, 404: nothing was added
                 if response.status == 200:
                     try:
-                        outcome, total = io.Outcome.OK, http.total(response.body)
+                        outcome, total = Outcome.OK, http.total(response.body)
                     except MalformedError as error:
                         self.spoilt(add, error)
                         return
@@ -83,7 +83,7 @@
         self.client.unrest(self)
         self.abort()
         if add is not None:
-            self.client.end(add, io.Outcome.ERROR, 0.0)
+            self.client.end(add, Outcome.ERROR, 0.0)
 
     def lost(self) -> None:
         """The connection has ended: a call not written whole was not added, another may have been."""
@@ -91,7 +91,7 @@
         if (add := self.add) is not None:
             self.add = None
             sent = self.written and self.flushed
-            self.client.end(add, io.Outcome.TIMEOUT if sent else io.Outcome.CONNECT_FAILED, 0.0)
+            self.client.end(add, Outcome.TIMEOUT if sent else Outcome.CONNECT_FAILED, 0.0)
 
 
 class CounterClient:
@@ -126,7 +126,7 @@
         elif len(self.open) < CONNECTIONS_MOST:
             self.dial(add)
         else:  # guards the counter's table: nothing was written
-            self.counted(name, io.Outcome.FULL, 0.0, 0.0)
+            self.counted(name, Outcome.REJECTED, 0.0, 0.0)
             return
         add.timer = self.reactor.callLater(self.timeout_ms / 1000, self.give_up, add)
 
@@ -152,7 +152,7 @@
                 add.wire = http.add(address, add.name, add.amount, add.keep_ms)
                 self.dial(add)
 
-    def end(self, add: Add, outcome: io.Outcome, total: float) -> None:
+    def end(self, add: Add, outcome: Outcome, total: float) -> None:
         """A call has ended."""
         if self.out.pop(add, None) is not None and not add.late:
             if add.timer is not None and add.timer.active():
@@ -171,7 +171,7 @@
             self.reactor.callLater(LATE_MS / 1000, self._late, connection, add)
         else:  # it is still coming up, and will be there for the next call
             connection.add = None
-        outcome = io.Outcome.TIMEOUT if written else io.Outcome.CONNECT_FAILED
+        outcome = Outcome.TIMEOUT if written else Outcome.CONNECT_FAILED
         self.counted(add.name, outcome, 0.0, self.clock() - add.began)
 
     def _late(self, connection: CounterConnection, add: Add) -> None:
--- a/scalelb/transport/fetch.py
+++ b/scalelb/transport/fetch.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
+from scalelb.policy.events import Outcome
 from scalelb.protocol import MalformedError, resp
-from scalelb.routing import interface as io
 from scalelb.routing.core import NO_REPORT
 from scalelb.transport.stream import Log, Reactor, Stream, dial, host_port
 
@@ -20,7 +20,7 @@
     """How an attempt or a probe ended, and what its answer told.  `value` is good until the call that hands
     it over returns."""
 
-    outcome: io.Outcome
+    outcome: Outcome
     value: memoryview | None = None
     report: Mapping[str, float] = field(default_factory=dict)
     usage: resp.UsageFigures = resp.NO_USAGE
@@ -105,7 +105,7 @@
         if wire is None:
             self.fetch = fetch.connection = None
             self.backend.rest(self)
-            fetch.end(AttemptResult(io.Outcome.MOOT))
+            fetch.end(AttemptResult(Outcome.NOT_SENT))
             return
         self.fetch, fetch.connection, self.written = fetch, self, True
         self.send(wire)
@@ -180,20 +180,20 @@
         if (fetch := self.fetch) is not None:
             self.fetch = fetch.connection = None
             sent = self.written and self.flushed
-            fetch.end(AttemptResult(io.Outcome.RESET if sent else io.Outcome.CONNECT_FAILED))
+            fetch.end(AttemptResult(Outcome.RESET if sent else Outcome.CONNECT_FAILED))
 
 
 def read_outcome(reply: resp.Reply, probe: bool) -> AttemptResult:
     """A backend's reply as a result.  Only a probe is answered with a bulk string or a status line."""
     line, usage, report = reply.line, reply.usage, reply.report
     if not line:
-        outcome = io.Outcome.OK
+        outcome = Outcome.OK
     elif not line.startswith(b"-"):
         if not probe:
             raise MalformedError(f"a request is not answered with {line[:20]!r}")
-        outcome = io.Outcome.OK
+        outcome = Outcome.OK
     else:
-        outcome = io.Outcome.FULL if line.split(b" ", 1)[0] == b"-BUSY" else io.Outcome.ERROR
+        outcome = Outcome.REJECTED if line.split(b" ", 1)[0] == b"-BUSY" else Outcome.ERROR
         usage, report = resp.read_error_line(line)
     return AttemptResult(
         outcome,
@@ -224,7 +224,7 @@
             connection.spoilt("bytes that nothing asked for, or its end")
         if not self.serving or len(self.open) >= self.pool.limits.each or not self.pool.room():
             # Guards a backend that drains, and the descriptors.  Never written, it tells nothing of it.
-            fetch.end(AttemptResult(io.Outcome.MOOT))
+            fetch.end(AttemptResult(Outcome.NOT_SENT))
         else:
             self.dial(fetch)
 
@@ -283,7 +283,7 @@
             fetch, connection.fetch = connection.fetch, None
             if fetch is not None:
                 fetch.connection = None
-                fetch.end(AttemptResult(io.Outcome.MOOT))
+                fetch.end(AttemptResult(Outcome.NOT_SENT))
 
     def retire(self) -> None:
         """The backend is gone: idle connections close, the others when they are free.  Another machine may
@@ -362,7 +362,7 @@
         long value begins to come: it returns who takes the pieces."""
         fetch = Fetch(write, ended, probe, left, begun)
         if (backend := self.backends.get(server)) is None:
-            fetch.end(AttemptResult(io.Outcome.CONNECT_FAILED))
+            fetch.end(AttemptResult(Outcome.CONNECT_FAILED))
         else:
             backend.start(fetch)
         return fetch
@@ -378,7 +378,7 @@
             connection.backend.unrest(connection)
             connection.abort()
 
-    def probe(self, server: str, ended: Callable[[io.Outcome, Mapping[str, float]], None]) -> None:
+    def probe(self, server: str, ended: Callable[[Outcome, Mapping[str, float]], None]) -> None:
         """Ask a backend for its load."""
 
         def told(result: AttemptResult) -> None:
@@ -389,7 +389,7 @@
         def late() -> None:
             if not fetch.done:
                 self.drop(fetch)
-                ended(io.Outcome.TIMEOUT, NO_REPORT)
+                ended(Outcome.TIMEOUT, NO_REPORT)
 
         fetch = self.fetch(server, lambda: resp.INFO_LOAD, told, probe=True)
         if not fetch.done:
--- a/scalelb/transport/session.py
+++ b/scalelb/transport/session.py
@@ -9,8 +9,8 @@
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import ServerFactory
 
+from scalelb.policy.settings import DeduplicationScope, Idempotency
 from scalelb.protocol import MalformedError, resp
-from scalelb.routing import interface as io
 from scalelb.routing.core import Core, OutOfRangeError, Ticket, Verdict
 from scalelb.routing.figures import Figures
 from scalelb.transport.stream import Log, Stream
@@ -199,7 +199,7 @@
         if self.door.held + len(call.raw) > self.door.held_most:  # guards the memory; nothing was charged
             settings = self.door.core.settings
             self.door.count(call.kind, self.door.figures.shed)
-            self._add(Answer(resp.busy(settings.max_retry_after_ms if settings.retry_after else 0.0)))
+            self._add(Answer(resp.busy(settings.max_retry_after_ms if settings.sends_retry_after else 0.0)))
             return
         answer = Answer()
         answer.ticket = self.door.arrive(self, call, name == resp.SAFE, answer)
@@ -428,10 +428,13 @@
         kind, plan = self.kinds.get(call.kind), self.plans.get(call.plan)
         if kind is None or plan is None:
             raise MalformedError(f"class {call.kind!r} or plan {call.plan!r} is not known")
-        effect, group = self.core.settings.classes[kind].effect, self.core.settings.classes[kind].group
-        if safe != (effect is io.Effect.SAFE):
+        effect, group = (
+            self.core.settings.request_classes[kind].idempotency,
+            self.core.settings.request_classes[kind].deduplication_scope,
+        )
+        if safe != (effect is Idempotency.IDEMPOTENT):
             raise MalformedError(f"class {call.kind!r} does not come by this command")
-        if effect is io.Effect.KEYED and not call.key:
+        if effect is Idempotency.IDEMPOTENCY_KEY and not call.key:
             raise MalformedError("a request of a keyed class without a key")
         if call.ident in self.idents:
             raise MalformedError("the id is that of an open request")
@@ -447,7 +450,7 @@
                 doors=call.spread,
                 first_door=call.first,
                 retry=call.retry,
-                key=call.key if self.keyed or group is not io.Group.ALL else "",
+                key=call.key if self.keyed or group is not DeduplicationScope.ALL else "",
                 client=session.client,
             )
         except OutOfRangeError as error:
--- a/scalelb/wirehost.py
+++ b/scalelb/wirehost.py
@@ -11,23 +11,54 @@
 from collections.abc import Iterable
 from typing import Any, TextIO
 
+from scalelb.policy.actions import (
+    Action,
+    AddToCounter,
+    AdmitRequest,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from scalelb.policy.endpoints import Endpoint, EndpointState
+from scalelb.policy.events import (
+    AttemptEnded,
+    CounterReplied,
+    EndpointListLost,
+    EndpointsListed,
+    Event,
+    HealthCheckEnded,
+    Outcome,
+    PeerMessageReceived,
+    RequestArrived,
+    RequestCancelled,
+    ResponseStarted,
+    Started,
+    TimerFired,
+)
 from scalelb.program.config import ConfigError, read_settings
-from scalelb.routing import interface as io
 from scalelb.routing.control import Gateway
 
 Fields = dict[str, Any]
 
 OUTCOMES = {
-    "done": io.Outcome.OK,
-    "err": io.Outcome.ERROR,
-    "busy": io.Outcome.FULL,
-    "etimedout": io.Outcome.TIMEOUT,
-    "econnrefused": io.Outcome.CONNECT_FAILED,
-    "econnreset": io.Outcome.RESET,
-    "ecanceled": io.Outcome.CANCELLED,
-    "skipped": io.Outcome.MOOT,
+    "done": Outcome.OK,
+    "err": Outcome.ERROR,
+    "busy": Outcome.REJECTED,
+    "etimedout": Outcome.TIMEOUT,
+    "econnrefused": Outcome.CONNECT_FAILED,
+    "econnreset": Outcome.RESET,
+    "ecanceled": Outcome.CANCELLED,
+    "skipped": Outcome.NOT_SENT,
+}
+STATES = {
+    "SERVING": EndpointState.SERVING,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
 }
-STATES = {"SERVING": io.State.SERVING, "DRAINING": io.State.DRAINING, "DELETED": io.State.GONE}
 MODES = {"incr": False, "total": True, "warm_copy": True}
 
 
@@ -39,99 +70,103 @@
     """A fault inside a gateway."""
 
 
-def read_server(item: Fields) -> io.ServerInfo:
+def read_server(item: Fields) -> Endpoint:
     """Translate one entry of a server list."""
-    return io.ServerInfo(
-        server=item["server"],
+    return Endpoint(
+        name=item["server"],
         state=STATES[item["state"]],
         zone=item.get("site", 0),
         cell=item.get("cluster", 0),
-        size=item.get("power-hint", 1.0),
-        started_ms=item.get("boot-time-ms", 0.0),
+        relative_capacity=item.get("power-hint", 1.0),
+        started_at=item.get("boot-time-ms", 0.0),
     )
 
 
-def read_event(name: str, f: Fields, rosters: dict[int, tuple[io.ServerInfo, ...]]) -> io.Event:
+def read_event(name: str, f: Fields, rosters: dict[int, tuple[Endpoint, ...]]) -> Event:
     """Translate one event of a running instance."""
     match name:
         case "Accept":
-            return io.RequestArrived(
-                request=f["tid"],
-                customer=f.get("customer", ""),
-                plan=f.get("tariff", 0),
-                request_class=f.get("tier-class", 0),
+            return RequestArrived(
+                request_id=f["tid"],
+                tenant=f.get("customer", ""),
+                plan_index=f.get("tariff", 0),
+                class_index=f.get("tier-class", 0),
                 expires_in_ms=f["expires-in-ms"],
                 units=f.get("weight", 0),
-                doors=f.get("doors", 1),
-                first_door=f.get("base", 0),
-                retry=f.get("retry", False),
+                sharing_limiters=f.get("doors", 1),
+                first_limiter=f.get("base", 0),
+                is_retry=f.get("retry", False),
             )
         case "Settled":
-            return io.AttemptEnded(
-                request=f["tid"],
-                attempt=f.get("go", 0),
-                server=f["server"],
+            return AttemptEnded(
+                request_id=f["tid"],
+                attempt_number=f.get("go", 0),
+                endpoint=f["server"],
                 outcome=OUTCOMES[f["reason"]],
                 elapsed_ms=f.get("cost-time-ms", 0.0),
-                final=f.get("complete", False),
+                request_finished=f.get("complete", False),
                 true_units=f.get("final-units", 0),
-                report=f.get("telemetry", {}),
-                used_percent=f["usage"] - 1.0 if f.get("usage") else None,  # 0 or absent: not told
+                load_report=f.get("telemetry", {}),
+                quota_used_percent=f["usage"] - 1.0 if f.get("usage") else None,  # 0 or absent: not told
             )
         case "Fired":
-            return io.TimerFired(tag=f.get("tag", 0))
+            return TimerFired(tag=f.get("tag", 0))
         case "Total":
-            return io.CounterReplied(
-                name=f.get("entry-name", 0),
+            return CounterReplied(
+                counter_key=f.get("entry-name", 0),
                 outcome=OUTCOMES[f["reason"]],
                 total=f.get("result-value", 0.0),
                 elapsed_ms=f.get("cost-time-ms", 0.0),
             )
         case "CancelledByClient":
-            return io.RequestGone(request=f["tid"])
+            return RequestCancelled(request_id=f["tid"])
         case "AckFirst":
-            return io.ResponseStarted(request=f["tid"], attempt=f.get("go", 0), server=f["server"])
+            return ResponseStarted(request_id=f["tid"], attempt_number=f.get("go", 0), endpoint=f["server"])
         case "Discovery":
             if f["mode"] == "lost":
-                return io.ListLost()
-            return io.ServersListed(servers=rosters[f.get("roster-id", 0)], full=MODES[f["mode"]])
+                return EndpointListLost()
+            return EndpointsListed(endpoints=rosters[f.get("roster-id", 0)], is_complete=MODES[f["mode"]])
         case "Checked":
-            return io.ProbeEnded(
-                server=f["server"],
+            return HealthCheckEnded(
+                endpoint=f["server"],
                 outcome=OUTCOMES[f["reason"]],
                 elapsed_ms=f.get("cost-time-ms", 0.0),
-                report=f.get("telemetry", {}),
+                load_report=f.get("telemetry", {}),
             )
         case "Memo":
-            return io.PeerMessage(sender=f.get("origin-peer", 0), content=f.get("content", "").encode())
+            return PeerMessageReceived(sender=f.get("origin-peer", 0), content=f.get("content", "").encode())
     raise WireError(f"unknown event {name!r}")
 
 
-def write_action(instance: int, action: io.Action) -> Fields:
+def write_action(instance: int, action: Action) -> Fields:
     """Translate one action."""
     match action:
-        case io.SendAttempt():
-            name, fields = "PassOn", {"tid": action.request, "server": action.server}
+        case SendAttempt():
+            name, fields = "PassOn", {"tid": action.request_id, "server": action.endpoint}
             if action.timeout_ms:
                 fields["patience-ms"] = action.timeout_ms
-        case io.Refuse():
-            name, fields = "TurnAway", {"tid": action.request}
+        case RejectRequest():
+            name, fields = "TurnAway", {"tid": action.request_id}
             if action.retry_after_ms:
                 fields["not-before-for-ms"] = action.retry_after_ms
-        case io.Admit():
+        case AdmitRequest():
             raise GatewayError("nothing asks for an admission here")
-        case io.Fail():
-            name, fields = "Fail", {"tid": action.request}
-        case io.CancelAttempt():
-            name, fields = "AbortAttempt", {"tid": action.request, "go": action.attempt}
-        case io.AddToCounter():
+        case FailRequest():
+            name, fields = "Fail", {"tid": action.request_id}
+        case CancelAttempt():
+            name, fields = "AbortAttempt", {"tid": action.request_id, "go": action.attempt_number}
+        case AddToCounter():
             name = "Enter"
-            fields = {"by": action.amount, "entry-name": action.name, "keep-for-ms": action.keep_ms}
-        case io.SetTimer():
+            fields = {
+                "by": action.amount,
+                "entry-name": action.counter_key,
+                "keep-for-ms": action.retention_ms,
+            }
+        case SetTimer():
             name, fields = "Defer", {"tag": action.tag, "sleep-for-ms": action.delay_ms}
-        case io.ProbeServer():
-            name, fields = "Test", {"server": action.server}
-        case io.SubscribeServers():
+        case CheckHealth():
+            name, fields = "Test", {"server": action.endpoint}
+        case WatchEndpoints():
             name, fields = "Subscribe", {"enable": True}
     return {name: {"i": instance, **fields}}
 
@@ -141,7 +176,7 @@
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
-        self.rosters: dict[int, tuple[io.ServerInfo, ...]] = {}
+        self.rosters: dict[int, tuple[Endpoint, ...]] = {}
         self.frame: int | None = None
         self.now = 0.0
         self.replies: list[Fields] = []
@@ -187,7 +222,7 @@
         instance = fields["i"]
         if name == "PowerOn":
             self.gateways[instance] = Gateway(read_settings(fields["options"]), fields["seed"])
-            self._decide(instance, io.Started())
+            self._decide(instance, Started())
         elif name == "Shutdown":
             self.gateways.pop(instance, None)
         elif instance not in self.gateways:
@@ -195,7 +230,7 @@
         else:
             self._decide(instance, read_event(name, fields, self.rosters))
 
-    def _decide(self, instance: int, event: io.Event) -> None:
+    def _decide(self, instance: int, event: Event) -> None:
         try:
             actions = self.gateways[instance].handle(self.now, event)
         except Exception as error:
