--- a/tests/test_failback.py
+++ b/tests/test_failback.py
@@ -13,10 +13,12 @@
 import pytest
 from driver import SETTINGS, Driver, of, servers
 
+from scalelb.policy.actions import SendAttempt
+from scalelb.policy.endpoints import Endpoint
+from scalelb.policy.events import AttemptEnded, EndpointsListed, Outcome
 from scalelb.routing import control
-from scalelb.routing import interface as io
 
-SITE = replace(SETTINGS, gateways=100, counter=False, attempt_limit=6)
+SITE = replace(SETTINGS, limiter_count=100, has_counter=False, max_attempts=6)
 COUNT, CARRIES, STEP = 10, 50.0, 20.0  # servers; units a second of a warm one; ms
 REQUESTS = 1.0  # a second at each gateway: half of what the warm servers can do
 
@@ -24,25 +26,25 @@
 class Fleet:
     """Many gateways before a few servers that answer after 100 ms, whatever is sent."""
 
-    def __init__(self, seed: int, gateways: int = SITE.gateways) -> None:
+    def __init__(self, seed: int, gateways: int = SITE.limiter_count) -> None:
         self.gateways = gateways
-        self.chance, self.now, self.outcome = Random(seed), 1000.0, io.Outcome.OK
+        self.chance, self.now, self.outcome = Random(seed), 1000.0, Outcome.OK
         self.listed = servers(COUNT)
         self.doors: list[Driver] = []
         self.units: dict[int, float] = {}
         self.sizes: tuple[float, ...] = (1.0, 2.0, 3.0, 4.0)
-        self.asked, self.requests = 0, REQUESTS * SITE.gateways / gateways
+        self.asked, self.requests = 0, REQUESTS * SITE.limiter_count / gateways
         self.sent: list[tuple[float, str, float]] = []
-        self.ends: deque[tuple[float, int, io.AttemptEnded]] = deque()
+        self.ends: deque[tuple[float, int, AttemptEnded]] = deque()
         self.started = 0.0
         for place in range(gateways):
             self.doors.append(self.door(place))
         self.run(15_000.0)
 
     def door(self, place: int) -> Driver:
-        site = replace(SITE, index=place, gateways=self.gateways)
+        site = replace(SITE, limiter_index=place, limiter_count=self.gateways)
         door = Driver(site, 0, self.now, self.chance.randrange(2**30))
-        door.give(io.ServersListed(self.listed, full=True))
+        door.give(EndpointsListed(self.listed, is_complete=True))
         return door
 
     def restart_gateways(self, part: int) -> None:
@@ -51,15 +53,15 @@
             self.doors[place] = self.door(place)
             self.ends = deque(end for end in self.ends if end[1] != place)
 
-    def publish(self, *infos: io.ServerInfo) -> None:
+    def publish(self, *infos: Endpoint) -> None:
         self.listed = infos
         for door in self.doors:
-            door.give(io.ServersListed(infos, full=True))
+            door.give(EndpointsListed(infos, is_complete=True))
 
     def start(self, alone: bool) -> None:
         """The first server starts; the others stay or are gone."""
         self.started = self.now
-        cold = replace(servers(1)[0], started_ms=self.now)
+        cold = replace(servers(1)[0], started_at=self.now)
         self.publish(cold, *([] if alone else servers(COUNT)[1:]))
 
     def run(self, ms: float) -> None:
@@ -82,22 +84,26 @@
         self.asked += 1
         door.ids = self.asked
         self.units[door.ids + 1] = units
-        door.ask(f"c{self.chance.randrange(5)}", units, plan=1)
+        door.ask(f"c{self.chance.randrange(5)}", units, plan_index=1)
 
     def look(self, place: int, door: Driver) -> None:
-        for action in of(io.SendAttempt, door.did):
-            self.sent.append((self.now, action.server, self.units[action.request]))
-            cold = self.started > 0 and action.server == "s0"
-            outcome = self.outcome if cold else io.Outcome.OK
-            request = door.gateway.requests[action.request]
-            ended = io.AttemptEnded(
-                action.request, request.sends - 1, action.server, outcome, 100.0, outcome is io.Outcome.OK
+        for action in of(SendAttempt, door.did):
+            self.sent.append((self.now, action.endpoint, self.units[action.request_id]))
+            cold = self.started > 0 and action.endpoint == "s0"
+            outcome = self.outcome if cold else Outcome.OK
+            request = door.gateway.requests[action.request_id]
+            ended = AttemptEnded(
+                action.request_id, request.sends - 1, action.endpoint, outcome, 100.0, outcome is Outcome.OK
             )
             self.ends.append((self.now + 100.0, place, ended))
         door.did.clear()
 
     def warm(self, at: float) -> float:
-        return min(1.0, SITE.cold_from + (1 - SITE.cold_from) * (at - self.started) / SITE.cold_ms)
+        return min(
+            1.0,
+            SITE.slow_start_initial_ratio
+            + (1 - SITE.slow_start_initial_ratio) * (at - self.started) / SITE.slow_start_ms,
+        )
 
     def took(self, since: float = 0.0) -> list[tuple[float, float]]:
         return [(at, units) for at, name, units in self.sent if name == "s0" and at >= self.started + since]
@@ -108,11 +114,11 @@
         took, mean = self.took(), sum(self.sizes) / len(self.sizes)
         assert took, "nothing was sent, so nothing was checked"
         times, sums = [at for at, _ in took], [0.0, *accumulate(units / mean for _, units in took)]
-        budget = SITE.fall_multiple * CARRIES / mean * SITE.fall_ms / 1000
+        budget = SITE.overload_multiple * CARRIES / mean * SITE.overload_window_ms / 1000
         worst = -inf
         for n, at in enumerate(times):
             allowed = budget * self.warm(at)
-            came = sums[n + 1] - sums[bisect_right(times, at - SITE.fall_ms)]
+            came = sums[n + 1] - sums[bisect_right(times, at - SITE.overload_window_ms)]
             worst = max(worst, came - allowed - 2 * sqrt(allowed) - 2)
         return worst
 
@@ -120,9 +126,9 @@
         """The fullest window: what was sent in it, as a part of what may be sent."""
         took = self.took()
         times, sums = [at for at, _ in took], [0.0, *accumulate(units for _, units in took)]
-        budget = SITE.fall_multiple * CARRIES * SITE.fall_ms / 1000
+        budget = SITE.overload_multiple * CARRIES * SITE.overload_window_ms / 1000
         windows = (
-            (sums[n + 1] - sums[bisect_right(times, at - SITE.fall_ms)]) / (budget * self.warm(at))
+            (sums[n + 1] - sums[bisect_right(times, at - SITE.overload_window_ms)]) / (budget * self.warm(at))
             for n, at in enumerate(times)
         )
         return max(windows, default=0.0)
@@ -145,7 +151,7 @@
 
 
 def repeats(fleet: Fleet) -> None:
-    fleet.outcome = io.Outcome.FULL
+    fleet.outcome = Outcome.REJECTED
     all_others_gone(fleet)
 
 
@@ -242,7 +248,7 @@
         for place, since in enumerate((0.0, 7000.0, 11_000.0)):
             end = fleet.started + since + 3000.0
             took[place] += sum(units for at, units in fleet.took(since) if at < end) / 4
-    carried = REQUESTS * SITE.gateways * 2.5 / COUNT * 3.0  # by each of the others
+    carried = REQUESTS * SITE.limiter_count * 2.5 / COUNT * 3.0  # by each of the others
     early, late, warm = took
     assert early > 0.1 * carried
     assert late > 0.4 * carried
@@ -260,9 +266,9 @@
 def test_work_of_servers_that_left_tells_nothing_of_the_others() -> None:
     # Guards the guide: answers that come in after a server left would be laid to those that stayed.
     d = Driver(count=2)
-    d.ask(plan=1)
+    d.ask(plan_index=1)
     [send] = d.sends()
-    d.give(io.ServersListed(tuple(s for s in servers(2) if s.server != send.server), full=True))
+    d.give(EndpointsListed(tuple(s for s in servers(2) if s.name != send.endpoint), is_complete=True))
     work = d.gateway.work
     d.end(send, true_units=3.0)
     assert d.gateway.work == work
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_door.py
@@ -22,7 +22,7 @@
 
 ONE = DoorSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
 TWO = DoorSettings(start_requests=2.0, least_requests=2.0, most_requests=2.0)
-SITE_ONE = replace(SITE, counter=False)
+SITE_ONE = replace(SITE, has_counter=False)
 
 STORIES = {
     "one that waits is sent once there is room": """
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("story", STORIES.values(), ids=STORIES.keys())
 def test_what_waits_at_the_door(story: str) -> None:
-    stage = Stage(fairness=TWO, counter=False)
+    stage = Stage(fairness=TWO, has_counter=False)
     held_at(stage)
     stage.play(story)
     door = stage.loop.core.door
@@ -60,13 +60,13 @@
 
 
 def test_one_that_can_not_be_in_time_any_more_is_refused_then_and_never_sent() -> None:
-    stage = Stage(fairness=TWO, counter=False)
+    stage = Stage(fairness=TWO, has_counter=False)
     held_at(stage, wait=400)
     stage.play("wait 300\nclient3 expect -BUSY\nbackend send {SERVED}\nwait 20\nbackend silent")
 
 
 def test_sigterm_finishes_what_waits_at_the_door() -> None:
-    stage = Stage(fairness=TWO, counter=False)
+    stage = Stage(fairness=TWO, has_counter=False)
     held_at(stage)
     stage.program.stop()
     stage.wait(750)
@@ -79,7 +79,7 @@
 
 
 def test_sighup_leaves_what_waits_at_the_door() -> None:
-    stage = Stage(fairness=TWO, counter=False)
+    stage = Stage(fairness=TWO, has_counter=False)
     held_at(stage)
     stage.reload(director="127.0.0.1:7001", fairness=DoorSettings(held_most=1))
     assert [e["at_next_start"] for e in stage.logged if e["event"] == "reloaded"] == [["SCALELB_FAIRNESS"]]
@@ -153,7 +153,7 @@
 def test_the_middleware_asks_the_same_door() -> None:
     async def story() -> None:
         now = [1e6]
-        host = Host(replace(SITE_ONE, gateways=3), 1, None, lambda: now[0], door=ONE)
+        host = Host(replace(SITE_ONE, limiter_count=3), 1, None, lambda: now[0], door=ONE)
         seen: list[int] = []
 
         async def app(scope: Any, receive: Any, send: Any) -> None:
@@ -201,20 +201,20 @@
 
 
 def test_customers_beyond_the_most_leave_a_record_and_no_fresh_burst() -> None:
-    d = Driver(replace(SETTINGS, counter=False, gateways=1))
+    d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
     for _ in range(6):  # ada uses all that she has
-        d.ask(doors=1)
+        d.ask(sharing_limiters=1)
         d.give(io_ended(d.sends()[-1]))
     left = d.gateway.customers["ada"].balance
     assert left <= 0.0
     for number in range(HOT_MOST + 500):
-        ident = d.ask(f"c{number}", units=0.5, doors=1)
-        sent = [s for s in d.sends()[-1:] if s.request == ident]
+        ident = d.ask(f"c{number}", units=0.5, sharing_limiters=1)
+        sent = [s for s in d.sends()[-1:] if s.request_id == ident]
         if sent:
             d.give(io_ended(sent[0]))
     assert len(d.gateway.customers) <= HOT_MOST + 8
     assert "ada" not in d.gateway.customers and d.gateway.knows("ada")
-    d.ask("ada", doors=1)
+    d.ask("ada", sharing_limiters=1)
     assert d.gateway.customers["ada"].balance < 2.0  # what the rate brought meanwhile, no burst
     for send in d.sends()[-1:]:
         d.give(io_ended(send))
@@ -223,15 +223,15 @@
 
 
 def io_ended(send: Any) -> Any:
-    from scalelb.routing import interface as io
+    from scalelb.policy.events import AttemptEnded, Outcome
 
-    return io.AttemptEnded(send.request, 0, send.server, io.Outcome.OK, 100.0, True)
+    return AttemptEnded(send.request_id, 0, send.endpoint, Outcome.OK, 100.0, True)
 
 
 def test_house_keeping_visits_so_many_in_a_turn() -> None:
-    d = Driver(replace(SETTINGS, counter=False, gateways=1))
+    d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
     for number in range(3 * VISITS):
-        d.ask(f"c{number}", units=0.5, doors=1)
+        d.ask(f"c{number}", units=0.5, sharing_limiters=1)
     visited: list[int] = []
     part = d.gateway._keep_house
     d.gateway._keep_house = lambda now: (part(now), visited.append(len(d.gateway.unvisited)))[0]  # type: ignore
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -9,15 +9,15 @@
 from driver import METERED, SETTINGS, Driver
 from fleet import Fleet
 
+from scalelb.policy.events import EndpointsListed, Outcome
 from scalelb.routing import health
-from scalelb.routing import interface as io
 
-OPEN = replace(METERED, rate=0.0, burst=0.0)
+OPEN = replace(METERED, rate_per_s=0.0, burst=0.0)
 
 
 def night(backends: int, took: object, seconds: float = 30.0, rate: float = 440.0) -> Fleet:
     """40 gateways, 11 requests a second each."""
-    fleet = Fleet(40, backends=backends, plans=(OPEN,), attempt_limit=4)
+    fleet = Fleet(40, backends=backends, plans=(OPEN,), max_attempts=4)
     fleet.took = took  # type: ignore[assignment]
 
     def next_one() -> None:
@@ -43,7 +43,7 @@
     # out by each of them, without end.
     server = next(iter(Driver(count=1).gateway.servers.values()))
     lasts = health.memory(90.0, 60)
-    health.judge(server, 0.0, io.Outcome.TIMEOUT, 1500.0, 170.0, lasts)
+    health.judge(server, 0.0, Outcome.TIMEOUT, 1500.0, 170.0, lasts)
     assert health.looks(server, 5500.0, 170.0, lasts, "") > 5 * 170.0
     assert health.looks(server, 60_000.0, 170.0, lasts, "") < 1.2 * 170.0
 
@@ -53,25 +53,25 @@
     server = next(iter(d.gateway.servers.values()))
     pauses = []
     for _ in range(8):
-        health.judge(server, d.now, io.Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
+        health.judge(server, d.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
         pauses.append(server.down - d.now)
     assert pauses[0] == health.DOWN_MS[0] and pauses[-1] == health.DOWN_MS[1]
     assert pauses == sorted(pauses)
-    health.judge(server, d.now, io.Outcome.OK, 100.0, 100.0, 5000.0)
+    health.judge(server, d.now, Outcome.OK, 100.0, 100.0, 5000.0)
     assert server.down == 0.0
-    health.judge(server, d.now, io.Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
-    d.give(io.ServersListed((replace(server.info, started_ms=d.now),), full=True))
+    health.judge(server, d.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
+    d.give(EndpointsListed((replace(server.info, started_at=d.now),), is_complete=True))
     assert server.down == 0.0 and server.latency == d.gateway.usual  # another process: nothing is known of it
 
 
 def test_a_failed_connect_spends_no_further_attempt() -> None:
     # Nothing reached a server, so there is no jam that a further attempt could keep up.
-    d = Driver(replace(SETTINGS, attempt_limit=4), count=3)
+    d = Driver(replace(SETTINGS, max_attempts=4), count=3)
     d.gateway.retries = 0.0
-    d.ask(plan=1)
-    d.end(d.sends()[0], io.Outcome.CONNECT_FAILED)
+    d.ask(plan_index=1)
+    d.end(d.sends()[0], Outcome.CONNECT_FAILED)
     assert len(d.sends()) == 2
-    d.end(d.sends()[1], io.Outcome.TIMEOUT)
+    d.end(d.sends()[1], Outcome.TIMEOUT)
     assert len(d.sends()) == 2
 
 
@@ -91,12 +91,12 @@
 
     server.latency = 100.0
     assert look(0.0) == 200.0 and look(0.0, opening=0.0) == 100.0
-    for outcome, kept in ((io.Outcome.OK, True), (io.Outcome.RESET, False), (io.Outcome.TIMEOUT, False)):
+    for outcome, kept in ((Outcome.OK, True), (Outcome.RESET, False), (Outcome.TIMEOUT, False)):
         health.renew(server, 100.0, 2.0)
         health.judge(server, 10.0, outcome, 100.0, 100.0, 5000.0)
         assert (look(20.0) == look(20.0, opening=0.0)) is kept
     health.renew(server, 100.0, 2.0)
-    health.judge(server, 10.0, io.Outcome.FULL, 100.0, 100.0, 5000.0)
+    health.judge(server, 10.0, Outcome.REJECTED, 100.0, 100.0, 5000.0)
     assert look(1009.0) == look(1009.0, opening=0.0) and look(1011.0) > look(1011.0, opening=0.0)
     health.sent(server, 20.0, 1000.0)
     assert server.ready == 0 and look(21.0) > look(21.0, opening=0.0)
@@ -106,14 +106,14 @@
 def test_hundreds_of_limiters_do_not_open_a_connection_to_every_server_each(price: float) -> None:
     # Seen with 214 limiters before 112 backends: a new connection for every second try, 60 open at a limiter,
     # 0.046 of the worth.
-    count, settings = 60, replace(SETTINGS, gateways=40, handshake=price, idle_ms=30_000.0)
+    count, settings = 60, replace(SETTINGS, limiter_count=40, handshake_cost=price, idle_timeout_ms=30_000.0)
     opened = tries = 0
     load: Counter[str] = Counter()
     for index in range(40):
-        d, free = Driver(replace(settings, index=index), count=count, seed=index), Counter[str]()
+        d, free = Driver(replace(settings, limiter_index=index), count=count, seed=index), Counter[str]()
         for _ in range(100):
-            d.ask(plan=1)
-            server = d.sends()[-1].server
+            d.ask(plan_index=1)
+            server = d.sends()[-1].endpoint
             opened, tries = opened + (not free[server]), tries + 1
             free[server], load[server] = 1, load[server] + 1
             d.wait(100.0)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -10,18 +10,18 @@
 
 from scalelb.routing import ledger
 
-PLAN = replace(METERED, rate=3.0, burst=13.0)
+PLAN = replace(METERED, rate_per_s=3.0, burst=13.0)
 
 
 def evening(customers: int, times: float, seconds: float = 40.0, gateways: int = 40) -> Fleet:
     """Each customer asks `times` its rate, by requests of 1 to 6 units through 30 of the doors."""
     fleet = Fleet(gateways, plans=(PLAN,))
-    rate = PLAN.rate * times / 3.5 * customers
+    rate = PLAN.rate_per_s * times / 3.5 * customers
 
     def next_one() -> None:
         number = fleet.random.randrange(customers)
         door = (number + fleet.random.randrange(min(30, gateways))) % gateways
-        fleet.ask(f"c{number}", door, fleet.random.randint(1, 6), doors=min(30, gateways))
+        fleet.ask(f"c{number}", door, fleet.random.randint(1, 6), sharing_limiters=min(30, gateways))
         fleet.at(1000 * fleet.random.expovariate(rate), next_one)
 
     next_one()
@@ -33,7 +33,7 @@
     # Seen with 40 limiters: each door took the store for its own, and a fifth of what was sent was beyond.
     seen = evening(customers=20, times=4.0).seen
     assert seen["units beyond"] < 0.06 * seen["units inside"]
-    assert seen["units inside"] > 0.9 * 20 * (PLAN.burst + 40 * PLAN.rate)
+    assert seen["units inside"] > 0.9 * 20 * (PLAN.burst + 40 * PLAN.rate_per_s)
 
 
 def test_who_stays_inside_its_quota_is_not_refused() -> None:
@@ -80,7 +80,7 @@
     long_silent(fleet)
     for n in range(240):
         units, before = (1, 4, 6)[n % 3], fleet.seen["sends"]
-        fleet.ask(f"c{n % 80}", fleet.random.randrange(60), units, doors=60)
+        fleet.ask(f"c{n % 80}", fleet.random.randrange(60), units, sharing_limiters=60)
         fleet.run(33.0)
         served[units][0] += fleet.seen["sends"] - before
         served[units][1] += 1
@@ -92,7 +92,7 @@
     fleet = Fleet(60, plans=(PLAN,))
     long_silent(fleet)
     for _ in range(3):  # the first takes what the door may let go
-        fleet.ask("c0", 0, 4.0, doors=60)
+        fleet.ask("c0", 0, 4.0, sharing_limiters=60)
         fleet.run(50.0)
     assert (fleet.seen["sends"], fleet.seen["refused"]) == (1, 2)
 
@@ -115,7 +115,7 @@
 def test_few_doors_keep_their_blocks() -> None:
     assert not ledger.shared(replace(PLAN, burst=13.0), 3, SETTINGS)
     assert ledger.shared(replace(PLAN, burst=13.0), 30, SETTINGS)
-    assert not ledger.shared(replace(PLAN, burst=13.0), 30, replace(SETTINGS, counter=False))
+    assert not ledger.shared(replace(PLAN, burst=13.0), 30, replace(SETTINGS, has_counter=False))
 
 
 @pytest.mark.parametrize("now", [0.0, 29_999.0, 30_000.0, 1.8e12])
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -26,7 +26,7 @@
     def __init__(self, **fields: Any) -> None:
         self.now, self.served = 1e6, 0
         self.added: list[tuple[int, float]] = []
-        settings = replace(SITE, **({"counter": False, "gateways": 3} | fields))
+        settings = replace(SITE, **({"has_counter": False, "limiter_count": 3} | fields))
         self.host = Host(settings, 1, self.add, lambda: self.now)
         inner = Starlette(routes=[Route("/cards", self.cards, methods=["GET", "POST"])])
         self.app = LimiterMiddleware(inner, self.host, KINDS, PLANS)
@@ -108,7 +108,7 @@
         assert app.added
         assert app.host.core.tally["counter ok"] == len(app.added)
 
-    play(story, counter=True)
+    play(story, has_counter=True)
 
 
 def test_a_client_that_leaves_while_held_spends_nothing() -> None:
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -416,7 +416,7 @@
 def test_a_director_that_has_no_room_is_left_in_peace_for_a_while() -> None:
     # Seen with 40 limiters: 400 calls a second for 25 s, and nobody was told anything.  Not for longer
     # than 3 s: what it has counts as told 6 s later, also where it refused (13 s went by before the next).
-    stage = Stage(gateways=40, subscribe=True)
+    stage = Stage(limiter_count=40, subscribes_to_endpoints=True)
     stage.play("""
         director send {listing(2, entry(0))}
         director expect from=2
@@ -434,7 +434,7 @@
 
 def test_a_limiter_with_a_list_asks_for_what_changed_since_when_its_turn_comes() -> None:
     # Seen at a release: 28 limiters that started together each asked for the whole list, then to watch it.
-    stage = Stage(generation=7, subscribe=True)
+    stage = Stage(generation=7, subscribes_to_endpoints=True)
     stage.play("""
         wait 700
         director expect GET /v1/endpoints?from=7&hold_ms=3000
@@ -446,7 +446,7 @@
 def test_the_agent_of_this_machine_is_asked_at_once_and_again_when_it_is_silent() -> None:
     # Seen at a release of 214 limiters: n5 had a list and asked up to 21 s later, while 15 more backends
     # drained. The second wait: a change counts as told 6 s after the agent had it.
-    stage = Stage(generation=7, gateways=214)
+    stage = Stage(generation=7, limiter_count=214)
     stage.play("""
         wait 0
         director expect GET /v1/endpoints?from=7&hold_ms=3000
@@ -793,7 +793,7 @@
     stage.play(f"client send {{call(1, 'record-answer', key='a', body='{body}')}}\n client silent")
     stage.play(f"client2 send {{call(2, 'record-answer', key='b', body='{body}')}}")
     stage.play("client2 expect -BUSY 1000")
-    other = Stage(retry_after=False)  # where the settings allow no advice, there is none
+    other = Stage(sends_retry_after=False)  # where the settings allow no advice, there is none
     other.door.held_most = 0
     other.play("client send {call(1)}\n client expect -BUSY\\n")
     stage.play("backend send {SERVED}\n client expect $2\\nok")
@@ -830,7 +830,7 @@
 def test_the_units_of_a_guess_that_was_too_high_come_back(length: int) -> None:
     left = []
     for told in ("$-1\\n", "$14\\nused=37,cost=1\\n", "$6\\ncost=7\\n"):  # a request has 6 units at most
-        stage = Stage(backends=1, units_settled=True, counter=False)
+        stage = Stage(backends=1, settles_true_units=True, has_counter=False)
         stage.play("client send {call(1, units=6)}\n backend expect CALL.GET")
         stage.play(f"backend send *3\\n${length}\\n{'v' * length}")
         stage.play(f"backend send \\n{told}\n backend send $-1\\n")
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -14,7 +14,8 @@
 from scenario import Stage
 
 from scalelb.fairness.records import Record
-from scalelb.routing import interface as io
+from scalelb.policy.events import EndpointsListed
+from scalelb.policy.settings import Plan
 from scalelb.routing.bans import MOST, Bans, Word
 from scalelb.routing.handover import take_in, take_out
 from scalelb.transport.admin import CALLERS_MOST, AdminDoor
@@ -119,7 +120,7 @@
 
 @pytest.mark.parametrize("name", FLOWS)
 def test_flow(name: str) -> None:
-    Stage(cancel=True).play(FLOWS[name])
+    Stage(cancels_attempts=True).play(FLOWS[name])
 
 
 def test_a_client_may_spend_two_seconds_on_a_head() -> None:
@@ -133,7 +134,7 @@
 
 
 def test_the_figures_are_those_of_the_answers_that_went_out() -> None:
-    stage = Stage(cancel=True)
+    stage = Stage(cancels_attempts=True)
     stage.play("""
         client send {call(1)}
         backend expect CALL.GET
@@ -165,7 +166,7 @@
     assert "backend1" not in stage.net.wires
     assert stage.program.say("s1", False) == 200
     stage.wait(0)
-    assert [s.info.server for s in stage.loop.core.gateway.cold] == ["s1"]
+    assert [s.info.name for s in stage.loop.core.gateway.cold] == ["s1"]
     assert stage.program.stats()["pool_ejected"] == 0
 
 
@@ -261,18 +262,18 @@
 
 def test_what_a_life_leaves_is_spent_by_one_of_the_two() -> None:
     # Guards the quotas through upgrades: ten in a row, at full demand, give no more than rate and burst do.
-    fleet = Fleet(1, counter=False, plans=(io.Plan(rate=10.0, burst=20.0),), most_units=1.0)
+    fleet = Fleet(1, has_counter=False, plans=(Plan(rate_per_s=10.0, burst=20.0),), max_units=1.0)
     random = Random(3)
     for _ in range(10):
         for _ in range(100):
-            fleet.ask(f"c{random.randrange(3)}", 0, 1.0, doors=1)
+            fleet.ask(f"c{random.randrange(3)}", 0, 1.0, sharing_limiters=1)
             fleet.run(20)
         gateway = fleet.gateways[0]
-        fresh = Fleet(1, counter=False, most_units=1.0, plans=fleet.settings.plans).gateways[0]
+        fresh = Fleet(1, has_counter=False, max_units=1.0, plans=fleet.settings.plans).gateways[0]
         account = orjson.loads(orjson.dumps(take_out(gateway, fleet.now)))
         assert take_in(fresh, account, fleet.now)[1] == 0
         fleet.gateways[0] = fresh
-        fleet.give(fresh, io.ServersListed(servers(60), full=True))
+        fleet.give(fresh, EndpointsListed(servers(60), is_complete=True))
     assert fleet.seen["units beyond"] == 0
     assert fleet.seen["units inside"] > 0.8 * 3 * (20 + 10 * 20)
 
@@ -288,8 +289,8 @@
     ],
 )  # fmt: skip
 def test_an_account_that_can_not_be_is_left_out_entry_by_entry(spoil: Any) -> None:
-    fleet = Fleet(2, counter=False)
-    fleet.ask("c0", 0, 1.0, doors=1)
+    fleet = Fleet(2, has_counter=False)
+    fleet.ask("c0", 0, 1.0, sharing_limiters=1)
     account = orjson.loads(orjson.dumps(take_out(fleet.gateways[0], fleet.now)))
     spoil(account)
     gateway = fleet.gateways[1]
@@ -331,14 +332,14 @@
 
 
 def test_who_comes_to_a_life_that_has_left_gets_no_share_and_none_is_forgotten_by_the_next() -> None:
-    old, new = Fleet(2, counter=False), Fleet(2, counter=False)
+    old, new = Fleet(2, has_counter=False), Fleet(2, has_counter=False)
     gateway = old.gateways[0]
     gateway.records.put("c9", Record(0.0, 0.0, 0.0, 0.0, -1, old.now, old.now + 5000.0), old.now)
     account = orjson.loads(orjson.dumps(take_out(gateway, old.now)))
-    old.ask("stranger", 0, 1.0, doors=1)
+    old.ask("stranger", 0, 1.0, sharing_limiters=1)
     assert gateway.customers["stranger"].balance <= 0.0
     take_in(new.gateways[0], account, new.now)
-    new.ask("c9", 0, 1.0, doors=1)
+    new.ask("c9", 0, 1.0, sharing_limiters=1)
     assert new.gateways[0].customers["c9"].balance <= 0.0
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -16,7 +16,9 @@
 from scalelb.overload import retry_budget, subsetting
 from scalelb.overload.concurrency_limit import MAX_LIMIT, MIN_LIMIT, ConcurrencyLimit
 from scalelb.overload.counter_contention import CounterContention
-from scalelb.routing import interface as io
+from scalelb.policy.actions import Action, FailRequest, RejectRequest, SendAttempt
+from scalelb.policy.events import AttemptEnded, Outcome
+from scalelb.policy.settings import Plan, RequestClass, Settings
 
 
 @given(st.integers(1, 60), st.integers(1, 300), st.floats(1.0, 2000.0))
@@ -78,11 +80,11 @@
     d = Driver(SETTINGS)
     kept = d.gateway.retries
     for _ in range(20):
-        d.ask(plan=1)
-        d.end(d.sends()[-1], outcome=io.Outcome.ERROR)
+        d.ask(plan_index=1)
+        d.end(d.sends()[-1], outcome=Outcome.ERROR)
     assert d.gateway.retries <= kept
     before = d.gateway.retries
-    d.ask(plan=1)
+    d.ask(plan_index=1)
     d.end(d.sends()[-1])
     assert d.gateway.retries == pytest.approx(before + 0.2)
 
@@ -95,7 +97,7 @@
 
 
 def test_where_the_own_subset_fails_all_others_are_drawn_from() -> None:
-    settings = io.Settings(**{**{f: getattr(SETTINGS, f) for f in SETTINGS.__slots__}, "gateways": 200})
+    settings = Settings(**{**{f: getattr(SETTINGS, f) for f in SETTINGS.__slots__}, "gateways": 200})
     d = Driver(settings, count=40)
     d.gateway.gap = 1000.0
     d.gateway._rank(d.now)
@@ -103,8 +105,8 @@
     assert (len(near), len(rest)) == (subsetting.MIN_SUBSET_SIZE, 40)
     for server in near:
         server.failing, server.marked = 0.9, d.now
-    d.ask(plan=1)
-    assert d.sends()[-1].server not in {server.info.server for server in near}
+    d.ask(plan_index=1)
+    assert d.sends()[-1].endpoint not in {server.info.name for server in near}
 
 
 class Jam(Fleet):
@@ -112,22 +114,25 @@
     requests are refused or fail come again."""
 
     def __init__(self, count: int) -> None:
-        aim = io.RequestClass(aim_ms=1000.0, deadline_ms=3000.0)
-        super().__init__(count, backends=40, plans=(io.Plan(),), classes=(aim,), counter=False)
+        aim = RequestClass(latency_objective_ms=1000.0, deadline_ms=3000.0)
+        super().__init__(count, backends=40, plans=(Plan(),), classes=(aim,), counter=False)
         self.slow, self.free_at = 1.0, defaultdict[str, float](float)
         self.served: list[float] = []
 
-    def carry_out(self, gateway: Any, action: io.Action) -> None:
-        if isinstance(action, io.SendAttempt):
-            begins = max(self.now, self.free_at[action.server])
-            self.free_at[action.server] = begins + 100.0 * self.slow
-            took, sends = self.free_at[action.server] - self.now, gateway.requests[action.request].sends - 1
+    def carry_out(self, gateway: Any, action: Action) -> None:
+        if isinstance(action, SendAttempt):
+            begins = max(self.now, self.free_at[action.endpoint])
+            self.free_at[action.endpoint] = begins + 100.0 * self.slow
+            took, sends = (
+                self.free_at[action.endpoint] - self.now,
+                gateway.requests[action.request_id].sends - 1,
+            )
             late = took > (wait := action.timeout_ms or 1000.0)
-            outcome, after = (io.Outcome.TIMEOUT, wait) if late else (io.Outcome.OK, took)
+            outcome, after = (Outcome.TIMEOUT, wait) if late else (Outcome.OK, took)
             self.served += [] if late else [self.now + took]
-            told = (action.request, sends, action.server, outcome, after, not late)
-            self.later(gateway, after, io.AttemptEnded(*told))
-        elif isinstance(action, io.Refuse | io.Fail):
+            told = (action.request_id, sends, action.endpoint, outcome, after, not late)
+            self.later(gateway, after, AttemptEnded(*told))
+        elif isinstance(action, RejectRequest | FailRequest):
             if self.random.random() < 0.7:
                 self.at(200.0, self.come)
         else:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -19,12 +19,12 @@
 from scalelb.peers import Chain, Entry, Mesh, MeshSettings, State
 from scalelb.peers.chain import TOMB_MS
 from scalelb.peers.mesh import BUDGET, DOWN, MEAN_BYTES, PACE, MalformedMessageError
+from scalelb.policy.settings import Plan
 from scalelb.program.peering import read_account
-from scalelb.routing import interface as io
 
-PLAN = io.Plan(rate=4.0, burst=16.0)
+PLAN = Plan(rate_per_s=4.0, burst=16.0)
 SITE = replace(
-    SETTINGS, plans=(PLAN,), most_units=6.0, counter=True, counter_timeout_ms=50.0, retry_after=True,
+    SETTINGS, plans=(PLAN,), max_units=6.0, has_counter=True, counter_timeout_ms=50.0, sends_retry_after=True,
     max_retry_after_ms=1000.0,
 )  # fmt: skip
 
@@ -333,12 +333,12 @@
     kills_s: float = 0.0, down_ms: float = 0.0, counter: str = "alive", customers: int = 1,
 ) -> Flock:  # fmt: skip
     """Limiters with customers at so many times their quota, killed so often."""
-    site, plan = replace(SITE, gateways=count), PLAN
+    site, plan = replace(SITE, limiter_count=count), PLAN
     found = Flock(site, seed=seed, linked=linked, clients=Clients(obey=False))
     drawn, at, arrivals = random.Random(seed), 3000.0, list[Arrival]()
     found.counter.silent = counter == "silent"
     while at < 3000 + 1000 * seconds:
-        at += drawn.expovariate(customers * load * plan.rate / 2) * 1000
+        at += drawn.expovariate(customers * load * plan.rate_per_s / 2) * 1000
         who, units = drawn.randrange(customers), drawn.choice((1.0, 2.0, 3.0))
         arrivals.append(Arrival(at, "x", 1 + who, 0, 0, units, drawn.randrange(count)))
     found.run(3000)
@@ -354,7 +354,7 @@
     """Units sent on, over what rate and burst allow."""
     sent = found.meter.inside + found.meter.beyond
     customers = len(found.meter.stores)
-    return sent / (customers * (PLAN.burst + PLAN.rate * seconds))
+    return sent / (customers * (PLAN.burst + PLAN.rate_per_s * seconds))
 
 
 @pytest.mark.parametrize("counter", ["alive", "silent"])
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -7,23 +7,32 @@
 import pytest
 from driver import METERED, SAFE, SETTINGS, Driver, of
 
-from scalelb.routing import interface as io
+from scalelb.policy.actions import RejectRequest
+from scalelb.policy.events import CounterReplied, Outcome
+from scalelb.policy.settings import Plan
 
-DEAR = replace(SAFE, worth=6.0)
-CAPPED = io.Plan(rate=100.0, burst=400.0, at_once=2)
+DEAR = replace(SAFE, priority_weight=6.0)
+CAPPED = Plan(rate_per_s=100.0, burst=400.0, max_concurrent_attempts=2)
 
 
 def refused(d: Driver) -> list[int]:
-    return [a.request for a in of(io.Refuse, d.did)]
+    return [a.request_id for a in of(RejectRequest, d.did)]
 
 
 def test_the_dearer_class_goes_first() -> None:
     # Seen on fleet days: record-answer was served to 60% and fetch-cards, a third of its worth, to 95%.
-    d = Driver(replace(SETTINGS, classes=(SAFE, DEAR), counter=False, plans=(replace(METERED, rate=8.0),)))
-    asked = [d.ask(request_class=n % 2) for n in range(10)]
-    before = {a.request for a in d.sends()}
+    d = Driver(
+        replace(
+            SETTINGS,
+            request_classes=(SAFE, DEAR),
+            has_counter=False,
+            plans=(replace(METERED, rate_per_s=8.0),),
+        )
+    )
+    asked = [d.ask(class_index=n % 2) for n in range(10)]
+    before = {a.request_id for a in d.sends()}
     d.wait(900.0)
-    later = [a.request for a in d.sends() if a.request not in before]
+    later = [a.request_id for a in d.sends() if a.request_id not in before]
     dear = [r for r in later if (r - asked[0]) % 2]
     assert dear
     assert later[: len(dear)] == dear
@@ -33,13 +42,13 @@
     # Seen on a fleet day: the store was full again, and for four seconds nobody asked.
     d = Driver()
     d.ask()
-    d.give(io.CounterReplied(d.calls()[-1].name, io.Outcome.OK, 500.0, 2.0))  # others used it up
+    d.give(CounterReplied(d.calls()[-1].counter_key, Outcome.OK, 500.0, 2.0))  # others used it up
     for _ in range(4):
         d.ask(units=3.0)
     calls, ada = len(d.calls()), d.gateway.customers["ada"]
     assert ada.queue
     if ada.calling:
-        d.give(io.CounterReplied(d.calls()[-1].name, io.Outcome.OK, 502.0, 2.0))
+        d.give(CounterReplied(d.calls()[-1].counter_key, Outcome.OK, 502.0, 2.0))
     ada.store, ada.store_at = 4.0, d.now  # it has filled since
     d.wait(300.0)
     assert len(d.calls()) > calls
@@ -58,10 +67,10 @@
 @pytest.mark.parametrize("most", [0.0, 200.0, 1000.0])
 def test_a_refusal_says_when_to_come_back(most: float) -> None:
     # The module used to refuse without a word, and clients came back by their own clocks.
-    d = Driver(replace(SETTINGS, counter=False, retry_after=most > 0, max_retry_after_ms=most))
+    d = Driver(replace(SETTINGS, has_counter=False, sends_retry_after=most > 0, max_retry_after_ms=most))
     for _ in range(40):
         d.ask(units=3.0)
-    advice = [a.retry_after_ms for a in of(io.Refuse, d.did)]
+    advice = [a.retry_after_ms for a in of(RejectRequest, d.did)]
     assert advice
     assert all(0 < a <= most for a in advice) or most == 0.0
     assert most or not any(advice)
@@ -84,12 +93,12 @@
             for _ in range(10):
                 d.wait(25.0)
                 for place, one in enumerate(d.calls()):
-                    if place not in answered and one.name in d.gateway.calls:
+                    if place not in answered and one.counter_key in d.gateway.calls:
                         answered.add(place)
-                        counts[one.name] = counts.get(one.name, 0.0) + one.amount * (not silent)
-                        outcome = io.Outcome.TIMEOUT if silent else io.Outcome.OK
-                        d.give(io.CounterReplied(one.name, outcome, counts[one.name], 2.0))
-            for send in [s for s in d.sends() if s.request in d.gateway.requests]:
+                        counts[one.counter_key] = counts.get(one.counter_key, 0.0) + one.amount * (not silent)
+                        outcome = Outcome.TIMEOUT if silent else Outcome.OK
+                        d.give(CounterReplied(one.counter_key, outcome, counts[one.counter_key], 2.0))
+            for send in [s for s in d.sends() if s.request_id in d.gateway.requests]:
                 d.end(send, true_units=1.0)
         return (len(d.sends()) - before) / asked
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,48 +12,63 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from scalelb.routing import interface as io
-
-PLAN = io.Plan(rate=6.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=24.0, ceiling_slack=4.0, over_worth=0.2)
-KEYED = io.RequestClass(1000.0, 3000.0, io.Effect.KEYED, io.Group.CELL, 2000.0)
-SITE = replace(SETTINGS, plans=(PLAN,), classes=(*SETTINGS.classes, KEYED))
-ANY = [o for o in io.Outcome if o is not io.Outcome.MOOT]
-NEVER_RAN = {io.Outcome.FULL, io.Outcome.CONNECT_FAILED, io.Outcome.MOOT}
+from scalelb.policy.actions import AddToCounter, FailRequest, RejectRequest, SendAttempt
+from scalelb.policy.endpoints import Endpoint, EndpointState
+from scalelb.policy.events import AttemptEnded, CounterReplied, EndpointsListed, Outcome
+from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass
+
+PLAN = Plan(
+    rate_per_s=6.0,
+    burst=20.0,
+    ceiling_rate_per_s=10.0,
+    ceiling_burst=24.0,
+    ceiling_slack=4.0,
+    over_quota_value_ratio=0.2,
+)
+KEYED = RequestClass(1000.0, 3000.0, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 2000.0)
+SITE = replace(SETTINGS, plans=(PLAN,), request_classes=(*SETTINGS.request_classes, KEYED))
+ANY = [o for o in Outcome if o is not Outcome.NOT_SENT]
+NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 
 
 class Witness:
     """Watches one gateway: what is out, what is answered, what may have run."""
 
     def __init__(self, index: int, now: float) -> None:
-        self.driver = Driver(replace(SITE, index=index), count=5, now=now)
+        self.driver = Driver(replace(SITE, limiter_index=index), count=5, now=now)
         self.driver.ids = index * 1_000_000 + int(now) * 1000
         self.seen = len(self.driver.did)
         self.asked: dict[int, tuple[int, float]] = {}
-        self.out: dict[int, io.SendAttempt] = {}
+        self.out: dict[int, SendAttempt] = {}
         self.tries: Counter[int] = Counter()
         self.ran: set[int] = set()
         self.answers: Counter[int] = Counter()
         self.shut: set[str] = set()
-        self.calls: list[io.AddToCounter] = []
+        self.calls: list[AddToCounter] = []
 
     def watch(self) -> None:
         """Check the newest actions."""
         for action in self.driver.did[self.seen :]:
             match action:
-                case io.SendAttempt():
-                    effect = SITE.classes[self.asked[action.request][0]].effect
-                    assert action.request not in self.out, "two attempts out"
-                    assert not self.answers[action.request], "sent after its end"
-                    assert action.server not in self.shut, "sent to a drained server"
-                    assert effect is not io.Effect.UNSAFE or action.request not in self.ran, "ran twice"
-                    self.out[action.request] = action
-                    self.tries[action.request] += 1
-                case io.Refuse() | io.Fail():
-                    self.answers[action.request] += 1
-                    assert action.request not in self.out, "ended with an attempt out"
-                    safe = SITE.classes[self.asked[action.request][0]].effect is io.Effect.SAFE
-                    assert isinstance(action, io.Fail) or safe or action.request not in self.ran
-                case io.AddToCounter():
+                case SendAttempt():
+                    effect = SITE.request_classes[self.asked[action.request_id][0]].idempotency
+                    assert action.request_id not in self.out, "two attempts out"
+                    assert not self.answers[action.request_id], "sent after its end"
+                    assert action.endpoint not in self.shut, "sent to a drained server"
+                    assert effect is not Idempotency.NOT_IDEMPOTENT or action.request_id not in self.ran, (
+                        "ran twice"
+                    )
+                    self.out[action.request_id] = action
+                    self.tries[action.request_id] += 1
+                case RejectRequest() | FailRequest():
+                    self.answers[action.request_id] += 1
+                    assert action.request_id not in self.out, "ended with an attempt out"
+                    safe = (
+                        SITE.request_classes[self.asked[action.request_id][0]].idempotency
+                        is Idempotency.IDEMPOTENT
+                    )
+                    assert isinstance(action, FailRequest) or safe or action.request_id not in self.ran
+                case AddToCounter():
                     self.calls.append(action)
         self.seen = len(self.driver.did)
 
@@ -61,24 +76,26 @@
         kind, units = chance.randrange(3), float(chance.randint(1, 4))
         self.asked[self.driver.ids + 1] = (kind, units)
         expires = chance.choice([4.0, 300.0, 3000.0])
-        self.driver.ask(chance.choice("ab"), units, request_class=kind, expires_in_ms=expires)
+        self.driver.ask(chance.choice("ab"), units, class_index=kind, expires_in_ms=expires)
 
-    def list_server(self, info: io.ServerInfo) -> None:
-        self.shut = self.shut - {info.server} if info.state is io.State.SERVING else self.shut | {info.server}
-        self.driver.give(io.ServersListed((info,), full=False))
+    def list_server(self, info: Endpoint) -> None:
+        self.shut = (
+            self.shut - {info.name} if info.state is EndpointState.SERVING else self.shut | {info.name}
+        )
+        self.driver.give(EndpointsListed((info,), is_complete=False))
 
     def end(self, chance: Random) -> None:
         if not self.out:
             return
         send = self.out.pop(chance.choice(list(self.out)))
         outcome = chance.choice(ANY)
-        final = outcome is io.Outcome.OK
+        final = outcome is Outcome.OK
         if final:
-            self.answers[send.request] += 1
+            self.answers[send.request_id] += 1
         if outcome not in NEVER_RAN:
-            self.ran.add(send.request)
-        attempt = self.tries[send.request] - 1
-        report = io.AttemptEnded(send.request, attempt, send.server, outcome, 50.0, final, 2.0 * final)
+            self.ran.add(send.request_id)
+        attempt = self.tries[send.request_id] - 1
+        report = AttemptEnded(send.request_id, attempt, send.endpoint, outcome, 50.0, final, 2.0 * final)
         self.driver.give(report)
 
 
@@ -91,7 +108,7 @@
     for _ in range(300):
         now += 10.0
         for name in stores:
-            stores[name] = min(PLAN.ceiling_burst, stores[name] + PLAN.ceiling_rate / 100)
+            stores[name] = min(PLAN.ceiling_burst, stores[name] + PLAN.ceiling_rate_per_s / 100)
         for place, door in enumerate(doors):
             door.driver.now = now - 10.0
             steps: list[Callable[[], object]] = [partial(door.driver.wait, 10.0)]
@@ -100,10 +117,10 @@
             if door.calls and chance.random() < 0.5:
                 call, outcome = door.calls.pop(0), chance.choice(ANY)
                 total = chance.choice([0.0, 5.0, 50.0])
-                steps.append(partial(door.driver.give, io.CounterReplied(call.name, outcome, total, 2.0)))
+                steps.append(partial(door.driver.give, CounterReplied(call.counter_key, outcome, total, 2.0)))
             if chance.random() < 0.02:
-                name, state = f"s{chance.randrange(5)}", chance.choice(list(io.State))
-                steps.append(partial(door.list_server, io.ServerInfo(name, state)))
+                name, state = f"s{chance.randrange(5)}", chance.choice(list(EndpointState))
+                steps.append(partial(door.list_server, Endpoint(name, state)))
             for step in steps:
                 before = Counter(door.tries)
                 step()
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -12,8 +12,8 @@
 from scalelb.lab.idempotency import BEGIN_MS, CLASS, Case, Run
 from scalelb.lab.model import START_MS
 from scalelb.peers import Life
+from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.program.idempotency_records import HEARD_MOST, OWN_MOST, IdempotencyRecords
-from scalelb.routing import interface as io
 from scalelb.routing.keys import homes
 
 SMALL = Case(requests=1500, per_s=300.0, kills_s=4.0)
@@ -69,7 +69,7 @@
     run.kill(1, 1e9)
     run.run(run.now + 600.0)
     for limiter in run.limiters:
-        run.tell(limiter, zone, io.State.GONE)
+        run.tell(limiter, zone, EndpointState.REMOVED)
     answers = tell(run, 4, "k1")
     run.run(run.now + 1500.0)
     assert answers == ["failed"]
@@ -129,7 +129,7 @@
 def test_what_is_told_and_what_is_kept_is_bounded() -> None:
     chain = Chain()
     attempts: dict[Any, Any] = {}
-    server = type("S", (), {"info": io.ServerInfo("s", io.State.SERVING, zone=1)})()
+    server = type("S", (), {"info": Endpoint("s", EndpointState.SERVING, zone=1)})()
     attempts[1, 0] = type("A", (), {"server": server})()
     gateway: Any = type("G", (), {"attempts": attempts})()
     chain.tries.core.gateway = gateway
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -11,7 +11,7 @@
 import pytest
 
 from scalelb import Gateway, wirehost
-from scalelb.routing import interface
+from scalelb.policy.events import AttemptEnded
 
 OPTIONS: dict[str, Any] = {
     "balancers": 2,
@@ -150,5 +150,5 @@
 def test_use_is_told_without_the_one_that_the_wire_adds(told: dict[str, int], used: float | None) -> None:
     settled = {"i": 3, "tid": 71, "server": "a", "reason": "done", "complete": True, "final-units": 3}
     event = wirehost.read_event("Settled", {**settled, **told}, {})
-    assert isinstance(event, interface.AttemptEnded)
-    assert (event.used_percent, event.true_units) == (used, 3)
+    assert isinstance(event, AttemptEnded)
+    assert (event.quota_used_percent, event.true_units) == (used, 3)
