--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -16,6 +16,7 @@
 from scalelb.lab.flock import Flock
 from scalelb.lab.model import START_MS
 from scalelb.lab.traffic import Arrival, Clients
+from scalelb.policy.settings import Plan
 from scalelb.program.peering import read_account
 from scalelb.replication import (
     Entry,
@@ -30,11 +31,10 @@
 from scalelb.replication.gossip import COPY_BYTES_PER_S
 from scalelb.replication.membership import DOWN_KEY_PREFIX
 from scalelb.replication.replicated_log import TOMBSTONE_MS
-from scalelb.routing import interface as io
 
-PLAN = io.Plan(rate=4.0, burst=16.0)
+PLAN = Plan(rate_per_s=4.0, burst=16.0)
 SITE = replace(
-    SETTINGS, plans=(PLAN,), most_units=6.0, counter=True, counter_timeout_ms=50.0, retry_after=True,
+    SETTINGS, plans=(PLAN,), max_units=6.0, has_counter=True, counter_timeout_ms=50.0, sends_retry_after=True,
     max_retry_after_ms=1000.0,
 )  # fmt: skip
 
@@ -362,12 +362,12 @@
     kills_s: float = 0.0, down_ms: float = 0.0, counter: str = "alive", customers: int = 1,
 ) -> Flock:  # fmt: skip
     """Limiters with customers at so many times their quota, killed so often."""
-    site, plan = replace(SITE, gateways=count), PLAN
+    site, plan = replace(SITE, limiter_count=count), PLAN
     found = Flock(site, seed=seed, linked=linked, clients=Clients(obey=False))
     drawn, at, arrivals = random.Random(seed), 3000.0, list[Arrival]()
     found.counter.silent = counter == "silent"
     while at < 3000 + 1000 * seconds:
-        at += drawn.expovariate(customers * load * plan.rate / 2) * 1000
+        at += drawn.expovariate(customers * load * plan.rate_per_s / 2) * 1000
         who, units = drawn.randrange(customers), drawn.choice((1.0, 2.0, 3.0))
         arrivals.append(Arrival(at, "x", 1 + who, 0, 0, units, drawn.randrange(count)))
     found.run(3000)
@@ -383,7 +383,7 @@
     """Units sent on, over what rate and burst allow."""
     sent = found.meter.inside + found.meter.beyond
     customers = len(found.meter.stores)
-    return sent / (customers * (PLAN.burst + PLAN.rate * seconds))
+    return sent / (customers * (PLAN.burst + PLAN.rate_per_s * seconds))
 
 
 @pytest.mark.parametrize("counter", ["alive", "silent"])
