--- a/scalelb/lab/flock.py
+++ b/scalelb/lab/flock.py
@@ -17,7 +17,7 @@
 
 from scalelb.lab.model import START_MS, Limiter, World
 from scalelb.policy.settings import Plan, Settings
-from scalelb.program.peering import Peering, Whose
+from scalelb.program.peering import OverrideScope, Peering
 from scalelb.replication import ReplicationSettings, Replicator
 from scalelb.routing.bans import Bans
 from scalelb.routing.core import Ticket
@@ -69,7 +69,7 @@
             bans = Bans()
             bans.told(flock.infos, True)
             self.bans = bans
-            core, fleet = self.core, Whose.FLEET
+            core, fleet = self.core, OverrideScope.FLEET
             clock = lambda: self.kernel.now  # noqa: E731
             self.peering = Peering(replicator, core, bans, clock, self.banned, flock.log, fleet, self.flush)
             self.drawn = drawn
--- /dev/null
+++ b/scalelb/program/account_replication.py
@@ -0,0 +1,112 @@
+"""Publishes what tenants' token buckets hold, so that the next incarnation of this limiter goes on from
+there.
+
+    u:TENANT   [balance, unreported, store, total, window, at, full_at]
+
+It is read by the next incarnation of the same limiter alone: what was granted stays granted, and the balance
+is never more than that incarnation's own share. Times are Unix milliseconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from itertools import islice
+from math import inf, isfinite
+from typing import Any
+
+from scalelb.fairness.records import Record
+from scalelb.routing.core import Core
+from scalelb.routing.state import Customer
+
+ACCOUNT_PREFIX = "u:"
+MAX_PUBLISHED_ACCOUNTS = 100_000  # at once
+EXPIRY_CHECKS_PER_TICK = 64  # published accounts that are checked for a full bucket
+EARLIER_INCARNATIONS_MS = 120_000.0  # after which all that earlier incarnations granted is over
+MAX_UNITS = 1e9  # of a balance, either way
+MAX_TOTAL_UNITS = 1e15
+MAX_WINDOW = 2**40  # of the counter, by number
+MAX_CLOCK_LEAD_MS = 60_000.0  # by which an account may be newer than now
+MAX_FILL_MS = 600_000.0  # from now, until which a bucket is taken to be filling
+
+
+class AccountReplication:
+    """The accounts of one limiter's tenants."""
+
+    def __init__(self, core: Core, write: Callable[[str, Any], None]) -> None:
+        """`write` takes the key and the value of an own entry; the value None deletes it."""
+        self.core = core
+        self.write = write
+        self.published_at = -inf  # tenants that were seen since then are published next
+        self.full_at: dict[str, float] = {}  # of the published accounts: when their buckets are full again
+
+    def publish(self, now: float) -> None:
+        """Publish the accounts that have changed, and withdraw some of those whose buckets are full again."""
+        gateway = self.core.gateway
+        since = self.published_at
+        self.published_at = now
+        for tenant in reversed(gateway.customers.values()):
+            if tenant.seen < since:
+                break  # the tenants are in the order in which they were last seen
+            self._publish(tenant, now)
+        for tenant in list(gateway.active.values()):
+            if tenant.seen < since:
+                self._publish(tenant, now)
+        checked = islice(self.full_at.items(), EXPIRY_CHECKS_PER_TICK)
+        for name in [name for name, full_at in checked if full_at <= now]:
+            del self.full_at[name]
+            self.write(ACCOUNT_PREFIX + name, None)
+
+    def _publish(self, tenant: Customer, now: float) -> None:
+        if not tenant.plan.rate_per_s and not tenant.plan.ceiling_rate_per_s:
+            return
+        is_published = tenant.name in self.full_at
+        record = tenant.record(now, self.core.gateway.backoff > 0)
+        if record.full_at <= now and not is_published:
+            return
+        if len(self.full_at) >= MAX_PUBLISHED_ACCOUNTS and not is_published:
+            return
+        self.full_at.pop(tenant.name, None)
+        self.full_at[tenant.name] = record.full_at
+        self.write(ACCOUNT_PREFIX + tenant.name, encode_account(record))
+
+    def recover(self, name: str, record: Record) -> bool:
+        """Take over what an earlier incarnation published of a tenant; False where something newer is
+        known."""
+        gateway = self.core.gateway
+        known = gateway.records.left.get(name)
+        if name in gateway.customers or (known is not None and known.at > record.at):
+            return False
+        gateway.records.left[name] = record
+        return True
+
+
+def encode_account(record: Record) -> list[float]:
+    """The value of an account's entry."""
+    amounts = [record.balance, record.unreported, record.store, record.total]
+    rounded = [round(amount, 3) for amount in amounts]
+    return [*rounded, record.window, round(record.at), round(record.full_at)]
+
+
+def decode_account(value: Any, now: float) -> Record | None:
+    """An account as an earlier incarnation published it; None where it can't be one.  Nothing in it lets more
+    be granted than a bucket holds: whoever reads it bounds it by the plan."""
+    if not isinstance(value, list) or len(value) != 7:
+        return None
+    if not all(not isinstance(v, bool) and isinstance(v, int | float) and isfinite(v) for v in value):
+        return None
+    balance, unreported, store, total, window, at, full_at = value
+    if not all(-MAX_UNITS <= units <= MAX_UNITS for units in (balance, unreported, store)):
+        return None
+    if not -1 <= window < MAX_WINDOW or not abs(total) <= MAX_TOTAL_UNITS:
+        return None
+    if not 0 <= at <= now + MAX_CLOCK_LEAD_MS or full_at <= now:
+        return None
+    return Record(
+        balance=float(balance),
+        unreported=float(unreported),
+        store=float(store),
+        total=float(total),
+        window=int(window),
+        at=min(float(at), now),
+        full_at=min(float(full_at), now + MAX_FILL_MS),
+    )
--- a/scalelb/program/peer_connections.py
+++ b/scalelb/program/peer_connections.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from scalelb.program.config import PeerSettings
-from scalelb.program.peering import Peering, Whose
+from scalelb.program.peering import OverrideScope, Peering
 from scalelb.replication import MalformedFrameError, ReplicationSettings, Replicator
 from scalelb.transport.peerlink import PeerLinks
 from scalelb.transport.stream import host_port
@@ -35,9 +35,10 @@
             settle_alone_after_ms=settings.alone_ms,
         )
         self.replicator = Replicator(replication, self.random.getrandbits(31), self.now(), program.log)
-        loop, whose = program.loop, Whose.FLEET if settings.fleet_bans else Whose.OWN
+        loop = program.loop
+        scope = OverrideScope.FLEET if settings.fleet_bans else OverrideScope.LIMITER
         self.peering = Peering(
-            self.replicator, loop.core, loop.bans, loop.clock, loop.banned, program.log, whose, self.flush
+            self.replicator, loop.core, loop.bans, loop.clock, loop.banned, program.log, scope, self.flush
         )  # fmt: skip
         others = {name: at for name, at in settings.members.items() if name != config.name}
         self.links = PeerLinks(
@@ -109,12 +110,12 @@
 
     def say(self, server: str) -> None:
         """Staff's word on a backend has changed."""
-        self.peering.say(server, self.now())
+        self.peering.publish_override(server, self.now())
 
     def told(self) -> dict[str, Any]:
         """For the log."""
         told = {"sent": self.links.sent, "received": self.links.received, "cpu_ms": round(1000 * self.cpu, 1)}
-        return {"peers": {**self.peering.told(self.now()), **told}}
+        return {"peers": {**self.peering.status(self.now()), **told}}
 
     def stop(self) -> None:
         """End all links."""
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -1,61 +1,57 @@
 """What limiters tell each other of their work, and what each makes of it.  No I/O: the replicator carries it.
 
-Every limiter writes only what is its own: the accounts of its customers, what it found of backends, staff's
-words that it was told. So nothing has to be agreed upon, and a copy can only be old, never wrong. What is
-made of another's word is bounded, whoever may have written it:
-
-    u:CUSTOMER  account    read by the next life of the same limiter: what was granted stays granted, and
-                           never more is on hand than this life's own share
-    x:BACKEND   by hand    read by the next life, and by all where `bans` says "fleet": it drains
-    b:BACKEND   bad        two say so: one limiter tries it for all (rendezvous over those alive), the others
-                           send it nothing while there are others; one voice alone does nothing
-    t:BACKEND   tried      by who tries for all: good again
-    g:BACKEND   gone       read by who still has it listed: nothing new goes there if two say so, until
-                           the list tells more
-    k:          single tries   `scalelb/program/tries.py`
+Every limiter writes only what is its own: the accounts of its tenants, what it found of endpoints, and the
+manual overrides that its operators made. So nothing has to be agreed upon, and a copy can only be old, never
+wrong. What is made of another's entry is bounded, whoever may have written it:
+
+    u:TENANT                       `account_replication.py`
+    x:ENDPOINT  [at, is_ejected]   a manual override: read by the next incarnation of this limiter, and by
+                                   all where `bans` in `deploy/peers.toml` says "fleet": the endpoint drains
+    b:, t:, g:ENDPOINT             `endpoint_reports.py`
+    k:TENANT KEY                   `idempotency_records.py`
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from enum import Enum
-from itertools import islice
-from math import exp, inf, isfinite
+from math import inf
 from typing import Any
 from zlib import crc32
 
-from scalelb.fairness.records import Record
-from scalelb.program.idempotency_records import FAR_MS, KEYED
-from scalelb.program.idempotency_records import IdempotencyRecords as Tries
-from scalelb.replication import Incarnation, OutgoingFrame, Replicator
-from scalelb.routing import health
+from scalelb.program.account_replication import (
+    ACCOUNT_PREFIX,
+    EARLIER_INCARNATIONS_MS,
+    AccountReplication,
+    decode_account,
+)
+from scalelb.program.endpoint_reports import REPORT_PREFIXES, EndpointReports
+from scalelb.program.idempotency_records import (
+    IDEMPOTENCY_PREFIX,
+    MAX_CLOCK_DISTANCE_MS,
+    IdempotencyRecords,
+)
+from scalelb.replication import Incarnation, MemberState, OutgoingFrame, Replicator
 from scalelb.routing.bans import Bans, Word
 from scalelb.routing.core import Core
 from scalelb.routing.handover import take_out
-from scalelb.routing.keys import homes
-from scalelb.routing.state import Customer
 
-ACCOUNTS_MOST = 100_000  # published at once
-ENDED = 64  # accounts looked at in one tick, whether their store is full again
-LOOK_MS = 1000.0  # between two looks at the backends
-BAD, HEARD = 0.5, 1.2  # failing from here on, of so many answers, is told
-GOODS, TRUST_MS, HOLD_MS = 2, 10_000.0, 2500.0  # good answers in a row that are told, so long; held back
-OF_BACKENDS = ("b:", "g:", "t:")
-VOICES, PART = 2, 0.25  # that have to say so; the part of the backends that peers can speak against at most
-CLOSE_MS = 120_000.0  # after which what former lives told of is over
-GONE_MS = 60_000.0  # that a backend which has left the list is told of
-UNITS = 1e9
+OVERRIDE_PREFIX = "x:"
+REVIEW_INTERVAL_MS = 1000.0  # between two reviews of the endpoints
+MAX_OVERRIDE_AT_MS = 1e15  # a time that can't be later
+TICK_SLACK_MS = 1.0  # by which a tick may come early, as timers are not exact
 
 
-class Whose(Enum):
-    """Whose words of staff hold here."""
+class OverrideScope(Enum):
+    """Where a manual override holds."""
 
-    OWN = "own"
+    LIMITER = "own"  # at the limiter where it was made, and its next incarnations
     FLEET = "fleet"
 
 
 class Peering:
-    """Between one limiter's core and the replicator."""
+    """Between one limiter's core and its replicator.  Times are Unix milliseconds (`clock`) where they do not
+    say that they are the replicator's."""
 
     def __init__(
         self,
@@ -63,213 +59,119 @@
         core: Core,
         bans: Bans,
         clock: Callable[[], float],
-        banned: Callable[[list[str]], None],
+        on_overrides_changed: Callable[[list[str]], None],
         log: Callable[..., None],
-        whose: Whose = Whose.OWN,
+        override_scope: OverrideScope = OverrideScope.LIMITER,
         flush: Callable[[], None] = lambda: None,
     ) -> None:
-        self.replicator, self.core, self.bans, self.clock = replicator, core, bans, clock
-        self.banned, self.log, self.whose = banned, log, whose
-        self.since = -inf  # what was seen after that is to be told
-        self.looked = self.ticked = -inf
-        self.written = 0.0  # the replicator's time
-        self.close_at = inf  # when all that former lives told of is over
-        self.published: dict[str, float] = {}  # accounts, when their stores are full again
-        self.gone: dict[str, float] = {}  # backends that have left the list, when
-        self.listed: set[str] = set()
-        self.distrusted: set[str] = set()  # backends held back for peers' words alone
-        self.agreed: dict[str, str] = {}  # bad ones, and who tries each for all
-        self.trusted: dict[str, float] = {}  # those that this limiter has found good again, when
-        self.relied: dict[str, float] = {}  # those that another has, whose word was taken, when
-        self.said: dict[str, set[Incarnation]] = {}  # who says what of a backend
-        self.tries = Tries(core, clock, self.write, flush)
-        replicator.on_settled, replicator.on_closed, replicator.on_entry = (
-            self.settled,
-            self.closed,
-            self.entered,
-        )
-        # Until it has settled nobody gets a fresh share: a former life may have granted it.
+        """`on_overrides_changed` takes the endpoints; `flush` sends what was written at once."""
+        self.replicator = replicator
+        self.core = core
+        self.bans = bans
+        self.clock = clock
+        self.on_overrides_changed = on_overrides_changed
+        self.log = log
+        self.override_scope = override_scope
+        self.reviewed_at = -inf
+        self.replicator_ticked_at = -inf  # the replicator's time
+        self.replicator_now = 0.0  # the replicator's time at the newest tick
+        self.close_earlier_at = inf  # when all that earlier incarnations granted is over
+        self.accounts = AccountReplication(core, self.write)
+        self.endpoints = EndpointReports(replicator, core, bans, self.write, on_overrides_changed, log)
+        self.idempotency = IdempotencyRecords(core, clock, self.write, flush)
+        replicator.on_settled = self.on_settled
+        replicator.on_closed = self.on_closed
+        replicator.on_entry = self.on_entry
+        # Until it has settled no tenant gets a fresh share: an earlier incarnation may have granted it.
         core.gateway.records.given_way_until = inf
 
     def write(self, key: str, value: Any) -> None:
-        """An own entry, or its end."""
-        self.replicator.write(key, value, self.written)
-
-    def tick(self, now: float, ready: Callable[[str], bool]) -> list[OutgoingFrame]:
-        """What is to be said, each `push_ms`; `now` is the replicator's time."""
-        at, self.written = self.clock(), now
-        self.tries.tick(at)
+        """Write an own entry; the value None deletes it."""
+        self.replicator.write(key, value, self.replicator_now)
+
+    def tick(self, replicator_now: float, is_ready: Callable[[str], bool]) -> list[OutgoingFrame]:
+        """The frames to send now, to members that are ready; due each `push_ms`."""
+        now = self.clock()
+        self.replicator_now = replicator_now
+        self.idempotency.tick(now)
         if self.replicator.is_settled and not self.replicator.is_closed:
-            self._publish_accounts(at, now)
-            if at >= self.close_at:
-                self.close_at = inf
-                self.replicator.close_earlier_incarnations(now)
-            if at - self.looked >= LOOK_MS:
-                self.looked = at
-                self._publish_backends(at, now)
-                self._heed(at)
-        out = self.replicator.push(ready)
-        if now - self.ticked >= self.replicator.settings.tick_ms - 1.0:
-            self.ticked = now
-            out += self.replicator.tick(now, ready)
-        return out
-
-    # What is told
-
-    def _publish_accounts(self, at: float, now: float) -> None:
-        gateway, since = self.core.gateway, self.since
-        self.since = at
-        for c in reversed(gateway.customers.values()):
-            if c.seen < since:
-                break
-            self._publish(c, at, now)
-        for c in list(gateway.active.values()):
-            if c.seen < since:
-                self._publish(c, at, now)
-        for name in [n for n, full_at in islice(self.published.items(), ENDED) if full_at <= at]:
-            del self.published[name]
-            self.replicator.write("u:" + name, None, now)
-
-    def _publish(self, c: Customer, at: float, now: float) -> None:
-        gateway = self.core.gateway
-        if not c.plan.rate_per_s and not c.plan.ceiling_rate_per_s:
-            return
-        record = c.record(at, gateway.backoff > 0)
-        if record.full_at <= at and c.name not in self.published:
-            return
-        if len(self.published) >= ACCOUNTS_MOST and c.name not in self.published:
-            return
-        self.published.pop(c.name, None)
-        self.published[c.name] = record.full_at
-        numbers = [record.balance, record.unreported, record.store, record.total]
-        told = [round(number, 3) for number in numbers]
-        self.replicator.write(
-            "u:" + c.name, [*told, record.window, round(record.at), round(record.full_at)], now
-        )
-
-    def _publish_backends(self, at: float, now: float) -> None:
-        gateway = self.core.gateway
-        lasts = health.memory(gateway.gap, len(gateway.servers))
-        own = self.replicator.own_log().entries
-        for name, server in gateway.servers.items():
-            key = "b:" + name
-            said = key in own and own[key].value is not None
-            bad = server.failing * exp((server.marked - at) / lasts) > BAD and server.heard >= HEARD
-            # What is agreed on stays said until it was tried: else all would find it out anew.
-            bad |= said and name in self.agreed and name not in self.relied and server.goods < GOODS
-            if bad != said:
-                self.replicator.write(key, [round(server.info.started_at)] if bad else None, now)
-            if self.agreed.get(name) == self.replicator.incarnation.name and server.goods >= GOODS:
-                self.trusted[name] = at
-                self.replicator.write("t:" + name, [round(server.info.started_at)], now)
-        for name, when in list(self.trusted.items()):
-            goods = gateway.servers[name].goods if name in gateway.servers else 0
-            if at - when > TRUST_MS or goods < GOODS:
-                del self.trusted[name]
-                self.replicator.write("t:" + name, None, now)
-        listed = set(self.bans.listed)
-        for name in self.listed - listed:
-            self.gone[name] = at
-            self.replicator.write("g:" + name, [], now)
-        for name in [n for n, when in self.gone.items() if at - when > GONE_MS or n in listed]:
-            del self.gone[name]
-            self.replicator.write("g:" + name, None, now)
-        for key in [k for k, e in own.items() if k[:2] == "b:" and e.value is not None]:
-            if key[2:] not in listed:
-                self.replicator.write(key, None, now)
-        self.listed = listed
-
-    def say(self, server: str, now: float) -> None:
-        """Staff's word on a backend has changed."""
-        if (word := self.bans.words.get(server)) is not None:
-            self.replicator.write("x:" + server, [round(word.at, 3), word.out], now)
-
-    # What comes
-
-    def settled(self) -> None:
-        """All that peers know of this limiter's former lives is here: go on from there."""
-        records, now, taken = self.core.gateway.records, self.clock(), 0
-        self.close_at = now
-        for life in self.replicator.earlier_incarnations():
-            for key, value in self.replicator.replica.logs[life].live_entries():
-                if key[:2] == "u:" and (record := read_account(value, now)) is not None:
-                    self.close_at = max(self.close_at, min(record.full_at, now + CLOSE_MS))
-                    name, old = key[2:], records.left.get(key[2:])
-                    if name not in self.core.gateway.customers and (old is None or old.at <= record.at):
-                        records.left[name] = record
-                        taken += 1
-                elif key[:2] == "x:":
-                    self.entered(life, key, value)
-                elif key[:2] == KEYED:
-                    self.close_at = max(self.close_at, now + FAR_MS)
-        records.given_way_until = 0.0
-        self.log("recalled", accounts=taken, lives=len(self.replicator.earlier_incarnations()))
-
-    def closed(self) -> None:
-        """A newer life of this name is at work: what is on hand is its own, and nothing new is granted."""
+            self._publish(now)
+        frames = self.replicator.push(is_ready)
+        tick_ms = self.replicator.settings.tick_ms
+        if replicator_now - self.replicator_ticked_at >= tick_ms - TICK_SLACK_MS:
+            self.replicator_ticked_at = replicator_now
+            frames += self.replicator.tick(replicator_now, is_ready)
+        return frames
+
+    def _publish(self, now: float) -> None:
+        self.accounts.publish(now)
+        if now >= self.close_earlier_at:
+            self.close_earlier_at = inf
+            self.replicator.close_earlier_incarnations(self.replicator_now)
+        if now - self.reviewed_at >= REVIEW_INTERVAL_MS:
+            self.reviewed_at = now
+            self.endpoints.publish(now)
+            self.endpoints.review(now, self.replicator_now)
+
+    def publish_override(self, endpoint: str, replicator_now: float) -> None:
+        """An operator has ejected an endpoint, or called it back."""
+        override = self.bans.words.get(endpoint)
+        if override is not None:
+            value = [round(override.at, 3), override.out]
+            self.replicator.write(OVERRIDE_PREFIX + endpoint, value, replicator_now)
+
+    # Called by the replicator
+
+    def on_settled(self) -> None:
+        """All that peers hold of this limiter's earlier incarnations is here: go on from there."""
+        now = self.clock()
+        recovered = 0
+        self.close_earlier_at = now
+        earlier = self.replicator.earlier_incarnations()
+        for incarnation in earlier:
+            for key, value in self.replicator.replica.logs[incarnation].live_entries():
+                if key.startswith(ACCOUNT_PREFIX):
+                    recovered += self._recover_account(key.removeprefix(ACCOUNT_PREFIX), value, now)
+                elif key.startswith(OVERRIDE_PREFIX):
+                    self.on_entry(incarnation, key, value)
+                elif key.startswith(IDEMPOTENCY_PREFIX):
+                    self.close_earlier_at = max(self.close_earlier_at, now + MAX_CLOCK_DISTANCE_MS)
+        self.core.gateway.records.given_way_until = 0.0
+        self.log("recalled", accounts=recovered, lives=len(earlier))
+
+    def _recover_account(self, tenant: str, value: Any, now: float) -> bool:
+        record = decode_account(value, now)
+        if record is None:
+            return False
+        over_at = min(record.full_at, now + EARLIER_INCARNATIONS_MS)
+        self.close_earlier_at = max(self.close_earlier_at, over_at)
+        return self.accounts.recover(tenant, record)
+
+    def on_closed(self) -> None:
+        """A newer incarnation of this name is at work: the balances are its own, and nothing more is
+        granted."""
         take_out(self.core.gateway, self.clock())
 
-    def entered(self, life: Incarnation, key: str, value: Any) -> None:
-        """A peer's entry is new here, or has ended."""
-        if key[:2] == KEYED:
-            self.tries.entered(life, key[2:], value)
-        elif key[:2] in OF_BACKENDS and life.name != self.replicator.incarnation.name:
-            self._heard(life, key, value is not None)
-        if (
-            key[:2] != "x:"
-            or value is None
-            or (life.name != self.replicator.incarnation.name and self.whose is Whose.OWN)
-        ):
-            return
+    def on_entry(self, incarnation: Incarnation, key: str, value: Any) -> None:
+        """An entry is new here, or was deleted (None)."""
+        is_own = incarnation.name == self.replicator.incarnation.name
+        holds_here = is_own or self.override_scope is OverrideScope.FLEET
+        if key.startswith(IDEMPOTENCY_PREFIX):
+            self.idempotency.on_entry(incarnation, key.removeprefix(IDEMPOTENCY_PREFIX), value)
+        elif key.startswith(REPORT_PREFIXES) and not is_own:
+            self.endpoints.take(incarnation, key, value is not None)
+        elif key.startswith(OVERRIDE_PREFIX) and value is not None and holds_here:
+            self._take_override(key.removeprefix(OVERRIDE_PREFIX), value)
+
+    def _take_override(self, endpoint: str, value: Any) -> None:
         match value:
-            case [int() | float() as at, bool(out)] if not isinstance(at, bool) and 0 <= at < 1e15:
-                if self.bans.join([(key[2:], Word(float(at), out))]):
-                    self.banned([key[2:]])
+            case [int() | float() as at, bool(is_ejected)] if not isinstance(at, bool):
+                if not 0 <= at < MAX_OVERRIDE_AT_MS:
+                    return
+                if self.bans.join([(endpoint, Word(float(at), is_ejected))]):
+                    self.on_overrides_changed([endpoint])
 
-    def _heard(self, life: Incarnation, key: str, says: bool) -> None:
-        """A peer's word on a backend, or its end.  Guards the memory: no more than are listed."""
-        if says and (key in self.said or len(self.said) < 3 * len(self.bans.listed)):
-            self.said.setdefault(key, set()).add(life)
-        elif not says and (lives := self.said.get(key)) is not None:
-            lives.discard(life)
-            if not lives:
-                del self.said[key]
-
-    def _heed(self, at: float) -> None:
-        """What peers say of backends.  Two have to say so, of few backends: one wrong peer alone takes no
-        healthy backend out, and where most look bad it is not they that are."""
-        replicator = self.replicator
-        servers, listed = self.core.gateway.servers, self.bans.listed
-        own = {key for key, entry in replicator.own_log().entries.items() if entry.value is not None}
-        alive = [] if replicator.is_isolated(self.written) else replicator.present_members(self.written)
-        bad = {n: len(self._voices("b:" + n)) + ("b:" + n in own) for n in servers}
-        agreed = sorted((n for n in bad if bad[n] >= VOICES), key=lambda n: (-bad[n], n))
-        most = max(1, int(PART * len(servers)))
-        agreed = agreed if alive and len(agreed) <= most else []
-        self.agreed = {n: homes(n, alive)[0] for n in agreed}
-        for name, trier in self.agreed.items():
-            server = servers[name]
-            if trier == replicator.incarnation.name:
-                continue  # tries it by its own marks, as one limiter does
-            if trier not in self._voices("t:" + name):
-                server.down = max(server.down, at + HOLD_MS)
-            elif name not in self.relied:  # once for each word: own answers count from here on
-                self.relied[name] = at
-                health.trust(server, self.core.gateway.usual)
-        for name in [n for n, when in self.relied.items() if at - when > TRUST_MS]:
-            del self.relied[name]
-        gone = [n for n in sorted(listed) if len(self._voices("g:" + n)) >= VOICES]
-        distrusted = set(gone[: max(1, int(PART * len(listed)))])
-        if distrusted != self.distrusted:
-            changed, self.distrusted = distrusted ^ self.distrusted, distrusted
-            self.bans.held = distrusted
-            self.banned(sorted(changed))
-            self.log("heeded", gone=sorted(distrusted))
-
-    def _voices(self, key: str) -> set[str]:
-        """Which members say something; this one's own word is not among them."""
-        newest = self.replicator.replica.newest_incarnation
-        return {life.name for life in self.said.get(key, ()) if newest(life.name) == life}
+    # For the log and for operators
 
     def digest(self) -> str:
         """What is held here, in 8 hexadecimal digits: a log's version says what is in it."""
@@ -279,37 +181,22 @@
             f"(Life(name={name!r}, number={number!r}, nonce={nonce!r}), {version!r})"
             for (name, number, nonce), version in versions
         ]
-        return f"{crc32(('[' + ', '.join(held) + ']').encode()):08x}"
+        text = "[" + ", ".join(held) + "]"
+        return f"{crc32(text.encode()):08x}"
 
-    def told(self, now: float) -> dict[str, Any]:
-        """For the log and for staff."""
+    def status(self, replicator_now: float) -> dict[str, Any]:
+        """For the log and for operators; the names of the fields are those of the log lines."""
         replicator = self.replicator
         others = [name for name in replicator.topology.members if name != replicator.incarnation.name]
-        states = {name: replicator.member_state(name, now).value for name in others}
+        states = {name: replicator.member_state(name, replicator_now) for name in others}
         return {
             "life": replicator.incarnation.number,
             "settled": replicator.is_settled,
             "closed": replicator.is_closed,
-            "alone": replicator.is_isolated(now),
+            "alone": replicator.is_isolated(replicator_now),
             "links": len(replicator.links),
-            "not_alive": {name: state for name, state in states.items() if state != "alive"},
-            "entries": sum(len(chain.entries) for chain in replicator.replica.logs.values()),
+            "not_alive": {
+                name: state.value for name, state in states.items() if state is not MemberState.ALIVE
+            },
+            "entries": sum(len(log.entries) for log in replicator.replica.logs.values()),
         }
-
-
-def read_account(value: Any, now: float) -> Record | None:
-    """An account as a former life published it; None where it can't be one.  Nothing in it lets more be
-    granted than a store holds: who reads it bounds it by the plan."""
-    if not isinstance(value, list) or len(value) != 7:
-        return None
-    if not all(not isinstance(v, bool) and isinstance(v, int | float) and isfinite(v) for v in value):
-        return None
-    balance, unreported, store, total, window, at, full_at = value
-    if not all(-UNITS <= v <= UNITS for v in (balance, unreported, store)) or not -1 <= window < 2**40:
-        return None
-    if not 0 <= at <= now + 60_000.0 or not abs(total) <= 1e15 or full_at <= now:
-        return None
-    return Record(
-        float(balance), float(unreported), float(store), float(total), int(window), min(float(at), now),
-        min(float(full_at), now + 600_000.0),
-    )  # fmt: skip
--- a/scalelb/program/policy_register.py
+++ b/scalelb/program/policy_register.py
@@ -1,7 +1,7 @@
-"""A voter's store on SQLite: one row, synced before `save` returns.
+"""An acceptor's state on SQLite: one row, synced before `save` returns.
 
 A file that can't be read, is another program's, or fails its check is set aside under another name, and the
-voter starts as one whose store is gone: it must not vote on half of what it promised.
+acceptor starts as one whose store is gone: it must not vote on half of what it promised.
 """
 
 from __future__ import annotations
@@ -15,55 +15,69 @@
 
 import orjson
 
-FORM = 1
+FORMAT_VERSION = 1
+SQLITE_SIDE_FILES = ("-journal", "-wal", "-shm")
+
+
+class UnusableRegisterError(ValueError):
+    """The file is another acceptor's, of another format, or fails its check; the text says which."""
 
 
 class PolicyRegister:
-    """The file of one voter."""
+    """The file of one acceptor; a `StateStore` of `scalelb.consensus`."""
 
     def __init__(self, path: Path, name: str, log: Callable[..., None]) -> None:
-        """`name`: the voter's, so that another's file is not taken for its own."""
-        self.path, self.name, self.log = path, name, log
+        """`name`: the acceptor's, so that another's file is not taken for its own.  Raises `sqlite3.Error` if
+        no file can be made in place of one that can't be used."""
+        self.path = path
+        self.name = name
+        self.log = log
         try:
-            self.base = self._open()
+            self.connection = self._open()
             self.load()
         except (sqlite3.Error, ValueError) as error:
-            aside = path.with_suffix(".aside")
-            log("register", level="error", what=str(error), aside=str(aside))
-            with suppress(OSError):
-                path.replace(aside)
-            for left in ("-journal", "-wal", "-shm"):
-                with suppress(OSError):
-                    Path(f"{path}{left}").unlink()
-            self.base = self._open()
+            self._set_aside(error)
+            self.connection = self._open()
 
     def _open(self) -> sqlite3.Connection:
-        base = sqlite3.connect(self.path, isolation_level=None)
-        base.execute("PRAGMA journal_mode = DELETE")
-        base.execute("PRAGMA synchronous = EXTRA")  # the folder's entry of the journal too
+        connection = sqlite3.connect(self.path, isolation_level=None)
+        connection.execute("PRAGMA journal_mode = DELETE")
+        # EXTRA syncs the folder once the journal is unlinked: without it a power loss may undo a save.
+        connection.execute("PRAGMA synchronous = EXTRA")
         columns = "one INTEGER PRIMARY KEY CHECK (one = 1), name, form, crc, state"
-        base.execute(f"CREATE TABLE IF NOT EXISTS voter ({columns})")
-        return base
+        connection.execute(f"CREATE TABLE IF NOT EXISTS voter ({columns})")
+        return connection
+
+    def _set_aside(self, error: Exception) -> None:
+        aside = self.path.with_suffix(".aside")
+        self.log("register", level="error", what=str(error), aside=str(aside))
+        with suppress(OSError):
+            self.path.replace(aside)
+        for suffix in SQLITE_SIDE_FILES:
+            with suppress(OSError):
+                Path(f"{self.path}{suffix}").unlink()
 
     def load(self) -> dict[str, Any] | None:
-        """What was saved last; None where there is nothing.  Raises ValueError for what can't be."""
-        row = self.base.execute("SELECT name, form, crc, state FROM voter").fetchone()
+        """The state that was saved last; None where there is none.  Raises `UnusableRegisterError` for a row
+        that can't be used, `ValueError` for one that is no JSON, and `sqlite3.Error`."""
+        row = self.connection.execute("SELECT name, form, crc, state FROM voter").fetchone()
         if row is None:
             return None
-        name, form, crc, state = row
-        if (name, form) != (self.name, FORM):
-            raise ValueError(f"{self.path.name}: of voter {name!r} and form {form!r}")
-        if not isinstance(state, bytes) or crc32(state) != crc:
-            raise ValueError(f"{self.path.name}: fails its check")
-        told: dict[str, Any] = orjson.loads(state)
-        return told
+        name, format_version, checksum, data = row
+        if (name, format_version) != (self.name, FORMAT_VERSION):
+            raise UnusableRegisterError(f"{self.path.name}: of voter {name!r} and form {format_version!r}")
+        if not isinstance(data, bytes) or crc32(data) != checksum:
+            raise UnusableRegisterError(f"{self.path.name}: fails its check")
+        state: dict[str, Any] = orjson.loads(data)
+        return state
 
     def save(self, state: dict[str, Any]) -> None:
-        """Keep it: on the disk before this returns, whole or not at all."""
+        """Save the state, whole or not at all; it is on the disk before this returns.  Raises
+        `sqlite3.Error`."""
         data = orjson.dumps(state)
-        row = (self.name, FORM, crc32(data), data)
-        self.base.execute("INSERT OR REPLACE INTO voter VALUES (1, ?, ?, ?, ?)", row)
+        row = (self.name, FORMAT_VERSION, crc32(data), data)
+        self.connection.execute("INSERT OR REPLACE INTO voter VALUES (1, ?, ?, ?, ?)", row)
 
     def close(self) -> None:
-        """No more is saved."""
-        self.base.close()
+        """Nothing can be saved any more."""
+        self.connection.close()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -17,7 +17,7 @@
 from scalelb.lab.model import START_MS
 from scalelb.lab.traffic import Arrival, Clients
 from scalelb.policy.settings import Plan
-from scalelb.program.peering import read_account
+from scalelb.program.account_replication import decode_account
 from scalelb.replication import (
     Entry,
     MalformedFrameError,
@@ -50,7 +50,7 @@
 
 
 @given(writes, st.lists(st.integers(0, 40), min_size=1, max_size=6), st.randoms(use_true_random=False))
-def test_copies_join_in_any_order_and_more_than_once(some: Any, cuts: list[int], rng: random.Random) -> None:
+def test_copies_merge_in_any_order_and_more_than_once(some: Any, cuts: list[int], rng: random.Random) -> None:
     owner, told = ReplicatedLog(), list[tuple[int, int, list[tuple[str, Entry]]]]()
     for place, (key, value) in enumerate(some):
         owner.write(key, value, float(place))
@@ -167,8 +167,8 @@
 
 
 def test_a_full_copy_is_paced_and_goes_on_after_its_link_broke() -> None:
-    # Guards the quotas: a real link was hung up on at 2 MiB in a second, and the new life settled alone with
-    # 78,064 of 100,000 accounts.
+    # Guards the quotas: a real link was hung up on at 2 MiB in a second, and the new incarnation settled
+    # alone with 78,064 of 100,000 accounts.
     cluster = Cluster(2)
     cluster.run(2500)
     for number in range(40_000):
@@ -398,7 +398,7 @@
     assert kills_s < 4 or abs(off - 1) > 0.2 > abs(on - 1), (on, off)
 
 
-def test_a_returned_limiter_gives_nothing_until_it_has_settled() -> None:
+def test_a_returned_limiter_grants_nothing_until_it_has_settled() -> None:
     found = flock(8, counter="silent", seconds=5.0)
     found.kill(3, 100.0)
     found.cut({found.names[3]}, set(found.names))
@@ -483,7 +483,7 @@
     return {m.name for m in members if m.core.gateway.servers[server].down > found.kernel.now}
 
 
-def test_what_two_find_bad_one_tries_for_all_and_the_next_when_it_dies() -> None:
+def test_one_member_probes_a_faulty_endpoint_for_all_and_the_next_when_it_dies() -> None:
     found = flock(8, seconds=0.1)
     bad_at(found, (1,))
     found.run(found.now + 1500.0)
@@ -501,7 +501,7 @@
     assert not held(found)
 
 
-def test_where_most_look_bad_or_nobody_is_heard_nothing_is_held_back() -> None:
+def test_where_most_look_faulty_or_nobody_is_heard_nothing_is_held_back() -> None:
     found = flock(8, seconds=0.1)
     for number in range(4):  # of six
         bad_at(found, (1, 2), f"deck-{number}")
@@ -519,7 +519,7 @@
     found = flock(3, seconds=0.1)
     member: Any = found.limiters[1]
     assert member.bans.say("deck-2", True, found.kernel.now)
-    member.peering.say("deck-2", found.now)
+    member.peering.publish_override("deck-2", found.now)
     found.run(found.now + 300)
     found.kill(1, 200.0)
     found.run(found.now + 2000)
@@ -550,8 +550,8 @@
 
 @settings(max_examples=40)
 @given(st.lists(st.one_of(st.floats(allow_nan=True), st.integers(), st.booleans(), st.text()), max_size=8))
-def test_an_account_that_can_not_be_is_none(value: list[Any]) -> None:
-    record = read_account(value, 1e12)
+def test_a_malformed_account_is_none(value: list[Any]) -> None:
+    record = decode_account(value, 1e12)
     assert record is None or (abs(record.balance) <= 1e9 and record.at <= 1e12)
 
 
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -12,7 +12,7 @@
 from scalelb.lab.idempotency import BEGIN_MS, CLASS, Case, Run
 from scalelb.lab.model import START_MS
 from scalelb.policy.endpoints import Endpoint, EndpointState
-from scalelb.program.idempotency_records import HEARD_MOST, OWN_MOST, IdempotencyRecords
+from scalelb.program.idempotency_records import MAX_OWN_KEYS, MAX_PEER_KEYS, IdempotencyRecords
 from scalelb.replication import Incarnation
 from scalelb.routing.keys import homes
 
@@ -79,14 +79,14 @@
     assert again == ["served"]
 
 
-class Chain:
+class WrittenLog:
     """What `IdempotencyRecords` writes, and a core that has nothing."""
 
     def __init__(self) -> None:
         self.written: dict[str, Any] = {}
         self.now = START_MS
         core: Any = type("Core", (), {"replicas": None})()
-        self.tries = IdempotencyRecords(core, lambda: self.now, self.write, lambda: None)
+        self.records = IdempotencyRecords(core, lambda: self.now, self.write, lambda: None)
 
     def write(self, key: str, value: Any) -> None:
         self.written[key] = value
@@ -94,7 +94,7 @@
             del self.written[key]
 
 
-LIFE, LIAR = Incarnation("n1", 1, 7), Incarnation("n2", 1, 9)
+INCARNATION, FORGER = Incarnation("n1", 1, 7), Incarnation("n2", 1, 9)
 
 
 @pytest.mark.parametrize(
@@ -106,47 +106,47 @@
         [0.5, 0, START_MS, START_MS + 9],
     ],
 )  # fmt: skip
-def test_a_word_that_can_not_be_counts_for_nothing(value: Any) -> None:
-    chain = Chain()
-    chain.tries.entered(LIFE, "c k", value)
-    assert chain.tries.ran("c", "k") is None
-
-
-def test_of_two_words_the_older_stands_and_it_ends_with_its_window() -> None:
-    chain = Chain()
-    chain.tries.entered(LIFE, "c k", [2, 0, START_MS - 100, START_MS + 3900])
-    chain.tries.entered(LIAR, "c k", [1, 0, START_MS - 50, START_MS + 3950])
-    chain.tries.entered(LIAR, "c k", None)
-    found = chain.tries.ran("c", "k")
+def test_a_malformed_entry_is_ignored(value: Any) -> None:
+    log = WrittenLog()
+    log.records.on_entry(INCARNATION, "c k", value)
+    assert log.records.ran("c", "k") is None
+
+
+def test_of_two_entries_the_older_stands_and_it_ends_with_its_window() -> None:
+    log = WrittenLog()
+    log.records.on_entry(INCARNATION, "c k", [2, 0, START_MS - 100, START_MS + 3900])
+    log.records.on_entry(FORGER, "c k", [1, 0, START_MS - 50, START_MS + 3950])
+    log.records.on_entry(FORGER, "c k", None)
+    found = log.records.ran("c", "k")
     assert found is not None
     assert (found[0].zone, found[1]) == (2, START_MS - 100)
-    chain.now += 4000.0
-    assert chain.tries.ran("c", "k") is None
-    chain.tries.tick(chain.now)
-    assert not chain.tries.heard
+    log.now += 4000.0
+    assert log.records.ran("c", "k") is None
+    log.records.tick(log.now)
+    assert not log.records.peer_attempts
 
 
-def test_what_is_told_and_what_is_kept_is_bounded() -> None:
-    chain = Chain()
+def test_own_keys_and_those_of_peers_are_bounded() -> None:
+    log = WrittenLog()
     attempts: dict[Any, Any] = {}
     server = type("S", (), {"info": Endpoint("s", EndpointState.SERVING, zone=1)})()
     attempts[1, 0] = type("A", (), {"server": server})()
     gateway: Any = type("G", (), {"attempts": attempts})()
-    chain.tries.core.gateway = gateway
+    log.records.core.gateway = gateway
     customer = type("C", (), {"name": "c"})()
-    for number in range(OWN_MOST + 100):
+    for number in range(MAX_OWN_KEYS + 100):
         told: Any = {"kind": CLASS, "key": str(number), "customer": customer, "ident": 1, "sends": 1}
         request: Any = type("R", (), told)()
-        chain.tries.sends(request)
-    assert len(chain.tries.own) == len(chain.written) == OWN_MOST
-    assert "k:c 0" not in chain.written
-    for number in range(HEARD_MOST + 100):
-        chain.tries.entered(LIFE, f"c {number}", [0, 0, START_MS, START_MS + 4000])
-    assert len(chain.tries.heard) == HEARD_MOST
-    chain.now += 5000.0
-    for _ in range(HEARD_MOST):
-        chain.tries.tick(chain.now)
-        if not chain.tries.heard and not chain.tries.own:
+        log.records.sends(request)
+    assert len(log.records.own_ends_at) == len(log.written) == MAX_OWN_KEYS
+    assert "k:c 0" not in log.written
+    for number in range(MAX_PEER_KEYS + 100):
+        log.records.on_entry(INCARNATION, f"c {number}", [0, 0, START_MS, START_MS + 4000])
+    assert len(log.records.peer_attempts) == MAX_PEER_KEYS
+    log.now += 5000.0
+    for _ in range(MAX_PEER_KEYS):
+        log.records.tick(log.now)
+        if not log.records.peer_attempts and not log.records.own_ends_at:
             break
-    assert not chain.tries.heard
-    assert not chain.written
+    assert not log.records.peer_attempts
+    assert not log.written
