--- a/scalelb/program/peer_connections.py
+++ b/scalelb/program/peer_connections.py
@@ -16,16 +16,18 @@
     from scalelb.program.__main__ import Program
 
 BACKLOG = 64
-SWEEPS = 10  # ticks between two looks for silent links
+TICKS_PER_SWEEP = 10  # between two looks for silent links
 
 
 class PeerConnections:
     """One limiter's links, replicator and peering."""
 
     def __init__(self, program: Program, settings: PeerSettings) -> None:
-        self.program, self.settings, self.reactor = program, settings, program.reactor
+        self.program = program
+        self.settings = settings
+        self.reactor = program.reactor
         config = program.config
-        self.random = SystemRandom()  # a life's nonce must differ from any other's, whatever the seeds are
+        self.random = SystemRandom()  # incarnations' nonces must differ, whatever the seeds are
         replication = ReplicationSettings(
             name=config.name,
             members=tuple(settings.members),
@@ -45,8 +47,9 @@
             self.reactor, config.name, others, program.log, self.joined, self.left, self.message
         )  # fmt: skip
         self.ticks = 0
-        self.digest = self.told_digest = ""
-        self.cpu = 0.0  # seconds that the links have taken
+        self.digest = ""  # at the newest look
+        self.logged_digest = ""
+        self.cpu_s = 0.0  # that the links have taken
 
     def now(self) -> float:
         """The replicator's clock: it only goes on."""
@@ -60,19 +63,19 @@
         return bound
 
     def tick(self) -> None:
-        """Say what is to be said, again and again."""
+        """Dial the links that are due and send what is due, again and again."""
         if self.links.closing:
             return
-        began = time.thread_time()
+        started_s = time.thread_time()
         self.ticks += 1
-        if self.ticks % SWEEPS == 0:
+        if self.ticks % TICKS_PER_SWEEP == 0:
             self.links.sweep()
-            self.tell_quiet()
+            self.log_digest_once_stable()
         for name in self.replicator.links_to_dial(self.random.choice):
             self.links.dial(name)
         for name, message in self.peering.tick(self.now(), self.links.ready):
             self.links.send(name, message)
-        self.cpu += time.thread_time() - began
+        self.cpu_s += time.thread_time() - started_s
         self.reactor.callLater(self.replicator.settings.push_ms / 1000, self.tick)
 
     def flush(self) -> None:
@@ -80,11 +83,11 @@
         for name, message in self.replicator.push(self.links.ready):
             self.links.send(name, message)
 
-    def tell_quiet(self) -> None:
+    def log_digest_once_stable(self) -> None:
         """One line once nothing has changed for a while: what is held here, to compare with the others."""
         digest = self.peering.digest()
-        if digest == self.digest and digest != self.told_digest:
-            self.told_digest = digest
+        if digest == self.digest and digest != self.logged_digest:
+            self.logged_digest = digest
             self.program.log("quiet", digest=digest)
         self.digest = digest
 
@@ -97,8 +100,8 @@
         self.replicator.link_down(name, self.now())
 
     def message(self, name: str, message: Any) -> None:
-        """A peer's message; one that can't be ends its link."""
-        began = time.thread_time()
+        """A peer's frame.  Raises `MalformedFrameError` for one that can't be: its link ends."""
+        started_s = time.thread_time()
         try:
             answers = self.replicator.receive(name, message, self.now())
         except MalformedFrameError:
@@ -106,15 +109,19 @@
             raise
         for to, answer in answers:
             self.links.send(to, answer)
-        self.cpu += time.thread_time() - began
+        self.cpu_s += time.thread_time() - started_s
 
     def say(self, server: str) -> None:
-        """Staff's word on a backend has changed."""
+        """An operator has ejected an endpoint, or called it back."""
         self.peering.publish_override(server, self.now())
 
     def told(self) -> dict[str, Any]:
         """For the log."""
-        told = {"sent": self.links.sent, "received": self.links.received, "cpu_ms": round(1000 * self.cpu, 1)}
+        told = {
+            "sent": self.links.sent,
+            "received": self.links.received,
+            "cpu_ms": round(1000 * self.cpu_s, 1),
+        }
         return {"peers": {**self.peering.status(self.now()), **told}}
 
     def stop(self) -> None:
--- a/scalelb/replication/__init__.py
+++ b/scalelb/replication/__init__.py
@@ -3,8 +3,8 @@
 `program/peering.py` does.
 
 `replicated_log` is the data, `topology` says who is linked, `frames` is the form on the wire, `gossip`
-exchanges logs over links, `membership` detects failures, and `replicator` joins them into one limiter's
-replica.
+exchanges logs over links, `membership` detects failures, `settling` says when an incarnation may write, and
+`replicator` joins them into one limiter's replica.
 """
 
 from scalelb.replication.frames import MalformedFrameError
--- a/scalelb/replication/replicator.py
+++ b/scalelb/replication/replicator.py
@@ -36,12 +36,12 @@
     ReplicatedLog,
 )
 from scalelb.replication.settings import ReplicationSettings
+from scalelb.replication.settling import Settling, SettlingState
 from scalelb.replication.topology import Topology
 
 HEARTBEAT_KEY = "!beat"  # the writer's own entry that a refutation renews
 MAX_LOGS_PER_MEMBER = 16
 EXTRA_LOGS = 64
-MAX_SETTLING_RATIO = 10  # of `settle_alone_after_ms`: no peer can hold an incarnation up for longer
 
 
 class Replicator:
@@ -60,11 +60,10 @@
         self.gossip = Gossip(self.replica, settings)
         self.links = self.gossip.links
         self.membership = Membership(settings, self.topology, self.replica, self.links, now)
+        self.settling = Settling(settings, self.topology, self.replica, self.links, now)
         self.incarnation = Incarnation(settings.name, 0, self.nonce)  # number 0: not settled yet
         self.is_settled = False
         self.is_closed = False  # a newer incarnation of this name is at work
-        self.started_at = now
-        self.last_copied_at = now  # when entries last came, before it has settled
         self.rejected_frames = 0  # those that could not be read
         self.on_settled: Callable[[], None] = lambda: None
         self.on_closed: Callable[[], None] = lambda: None
@@ -219,7 +218,7 @@
         if log.version == delta.up_to:
             link.announced[incarnation] = log.state
         if log.version > version_before:
-            self.last_copied_at = now
+            self.settling.last_copied_at = now
             self.membership.log_advanced_at[incarnation.name] = now
         for key, value in merged:
             self._take_entry(incarnation, key, value)
@@ -272,50 +271,20 @@
             self.log("peers", level="warning", what="a newer life of this name has closed this one", by=newer)
             self.on_closed()
 
-    # Settling
-
     def _try_to_settle(self, now: float) -> None:
-        met = [link for link in self.links.values() if link.initial_versions is not None and link.is_settled]
-        is_alone = self._is_alone(met, now)
-        if not is_alone and not self._has_copied_all(met, now):
+        state = self.settling.state(now)
+        if state is SettlingState.COPYING:
             return
         newest = self.replica.newest_incarnation(self.settings.name)
         number = newest.number if newest is not None else 0
         self.incarnation = Incarnation(self.settings.name, number + 1, self.nonce)
         self.is_settled = True
-        took_ms = round(now - self.started_at)
+        is_alone = state is SettlingState.ALONE
+        took_ms = round(now - self.settling.started_at)
         self.log("settled", life=self.incarnation.number, alone=is_alone, took_ms=took_ms)
         self.write(HEARTBEAT_KEY, now, now)
         self.on_settled()
 
-    def _is_alone(self, met: list[Link], now: float) -> bool:
-        """Whether no settled peer is there, or they have held this incarnation up for too long."""
-        alone_ms = self.settings.settle_alone_after_ms
-        # Entries that came last put it off: a link that broke in the middle of a copy comes back.
-        has_nobody = now - self.last_copied_at > alone_ms and not met
-        return has_nobody or now - self.started_at > MAX_SETTLING_RATIO * alone_ms
-
-    def _has_copied_all(self, met: list[Link], now: float) -> bool:
-        """Whether all is here that each settled peer held when they met."""
-        is_linked = len(self.links) >= len(self.topology.neighbours)
-        may_wait = now - self.started_at < self.settings.wait_for_links_ms
-        if may_wait and not is_linked:
-            return False
-        return bool(met) and all(map(self._has_copied_from, met))
-
-    def _has_copied_from(self, link: Link) -> bool:
-        if not link.is_settled or link.initial_versions is None or link.has_more_initial:
-            return False
-        return all(
-            self._has_copied(incarnation, version) for incarnation, version in link.initial_versions.items()
-        )
-
-    def _has_copied(self, incarnation: Incarnation, version: int) -> bool:
-        if not version or self.replica.is_closed(incarnation):
-            return True
-        log = self.replica.logs.get(incarnation)
-        return log is not None and log.version >= version
-
     # Who is there
 
     def is_isolated(self, now: float) -> bool:
