--- a/scalelb/__init__.py
+++ b/scalelb/__init__.py
@@ -1,5 +1,5 @@
-"""The decisions of a front door that meters many customers' use of one shared service."""
+"""A distributed rate limiter with admission control and endpoint selection for fleets that tenants share."""
 
-from scalelb.routing.control import Gateway
+from scalelb.policy.limiter import Limiter
 
-__all__ = ["Gateway"]
+__all__ = ["Limiter"]
--- a/scalelb/lab/virtual.py
+++ b/scalelb/lab/virtual.py
@@ -19,8 +19,8 @@
 from scalelb.lab.rows import Row
 from scalelb.lab.schedule import Schedule, Step
 from scalelb.lab.traffic import Clients
+from scalelb.policy.shared_counter import WINDOW_MS
 from scalelb.routing.core import Ticket, Verdict
-from scalelb.routing.ledger import WINDOW_MS
 
 LIMIT_MS, SETTLE_MS = 120_000.0, 14_000.0  # of virtual time: for a step's event; after the load
 PLAN = "basic"
--- a/scalelb/overload/concurrency_limit.py
+++ b/scalelb/policy/concurrency_limit.py
@@ -12,8 +12,7 @@
 decreases where more than one answer in four is late, whatever its value. A limiter that receives many
 answers takes smaller steps and leaves more room above the number in flight: the steps of all answers within
 `FULL_STEP_GAP_MS` add up to one. So does a limiter of a small fleet, where admission control is fast
-enough. (With the same steps for any number of limiters, brink days of six limiters, a third of whose
-backends hang, scored 0.46 instead of 0.57 on one site, 0.35 instead of 0.54 on another.)
+enough.
 """
 
 from __future__ import annotations
--- a/scalelb/overload/counter_contention.py
+++ b/scalelb/policy/counter_contention.py
@@ -17,9 +17,8 @@
 higher one where it costs less, up to all of them from a share of `FULL_ADMISSION_GRANT_RATIO` on.
 
 A late answer is not a failure: the caller waits five times `late_after_ms` for it. Without an answer by
-then the counter is taken to be silent and is called again after a pause that doubles with each failure, so
-that a counter that recovers is not overloaded at once. (Requiring two failed calls before silence was
-tried: new incarnations of limiters then admitted 1.24 of the quota instead of 1.0 at one kill a second.)
+then the counter is unavailable: it is called again after a backoff that doubles with each failure, so that
+a counter that recovers is not overloaded at once.
 """
 
 from __future__ import annotations
@@ -33,8 +32,8 @@
 FAILURE_DECREASE_FACTOR = 0.6  # of the sampling rate, after a call without an answer
 MIN_DECREASE_INTERVAL_MS = 300.0  # between two decreases for failures
 BASELINE_LATENCY_GAIN = 0.02  # of the distance to a slower answer
-MIN_PAUSE_MS = 50.0  # after the first failure
-MAX_PAUSE_MS = 1000.0  # after many
+MIN_BACKOFF_MS = 50.0  # after the first failure
+MAX_BACKOFF_MS = 1000.0  # after many
 FULL_ADMISSION_GRANT_RATIO = 0.5  # of the sampled requests: where so many are granted, all unsampled ones go
 MAX_EXTRA_WEIGHT = 2.0  # unsampled requests that one sampled request may be charged for
 GRANT_RATIO_GAIN = 0.2  # weight of the newest answer in the running average
@@ -47,24 +46,24 @@
         """`late_after_ms`: latency of a counter call beyond which its answer is late."""
         self.late_after_ms = late_after_ms
         self.sampling_rate = 1.0  # of the requests
-        self.pause_ms = 0.0  # above 0: the counter is silent
+        self.backoff_ms = 0.0  # above 0: the last call failed
         self.next_call_at = 0.0  # ms; no call before
         self.baseline_latency_ms = late_after_ms  # lowest latency lately
         self.last_decrease_at = -inf  # ms; for a failure
         self.grant_ratio = 1.0  # of the sampled requests lately
 
     @property
-    def silent(self) -> bool:
-        """Whether the pause is at its longest, so that no answer should be waited for."""
-        return self.pause_ms >= MAX_PAUSE_MS
+    def is_unavailable(self) -> bool:
+        """Whether the backoff is at its longest, so that no answer should be waited for."""
+        return self.backoff_ms >= MAX_BACKOFF_MS
 
     def extra_weight(self, over_cost: float) -> float:
         """Return how many admitted unsampled requests one sampled request stands for beside itself."""
         return min(MAX_EXTRA_WEIGHT, (1 / self.sampling_rate - 1) * self.admission_rate(over_cost))
 
-    def record_grant(self, granted: bool, asked: bool) -> None:
-        """Record whether the token bucket had the units; no effect unless the call `asked` for any."""
-        self.grant_ratio += GRANT_RATIO_GAIN * (granted - self.grant_ratio) * asked
+    def record_grant(self, is_granted: bool) -> None:
+        """Record whether the token bucket had the units that a call asked for."""
+        self.grant_ratio += GRANT_RATIO_GAIN * (is_granted - self.grant_ratio)
 
     def admission_rate(self, over_cost: float) -> float:
         """Return the share of unsampled requests to admit; `over_cost`: the share of its worth that a request
@@ -72,21 +71,20 @@
         return min(1.0, self.grant_ratio / min(1.0, max(FULL_ADMISSION_GRANT_RATIO, over_cost)))
 
     def on_answer(self, now: float, elapsed_ms: float) -> None:
-        """Adjust the sampling rate to an answer that took `elapsed_ms`, and end any pause."""
-        self.pause_ms = 0.0
-        baseline = self.baseline_latency_ms
-        baseline = self.baseline_latency_ms = min(
-            elapsed_ms, baseline + BASELINE_LATENCY_GAIN * (elapsed_ms - baseline)
-        )
+        """Adjust the sampling rate to an answer that took `elapsed_ms`, and end any backoff."""
+        self.backoff_ms = 0.0
+        slower_ms = elapsed_ms - self.baseline_latency_ms
+        baseline_ms = min(elapsed_ms, self.baseline_latency_ms + BASELINE_LATENCY_GAIN * slower_ms)
+        self.baseline_latency_ms = baseline_ms
         delay_target_ms = max(1e-9, COUNTER_QUEUE_DELAY_TARGET * self.late_after_ms)
-        queue_delay = (elapsed_ms - baseline) / delay_target_ms
+        queue_delay = (elapsed_ms - baseline_ms) / delay_target_ms
         factor = 1.0 + SAMPLING_RATE_GAIN * max(-MAX_DECREASE_STEPS, 1.0 - queue_delay)
         self.sampling_rate = min(1.0, max(MIN_SAMPLING_RATE, self.sampling_rate * factor))
 
     def on_failure(self, now: float) -> None:
-        """Decrease the sampling rate and pause after a call that had no answer or was turned away."""
+        """Decrease the sampling rate and back off after a call that had no answer or was rejected."""
         if now - self.last_decrease_at >= MIN_DECREASE_INTERVAL_MS:  # once for all calls that failed together
             self.sampling_rate = max(MIN_SAMPLING_RATE, self.sampling_rate * FAILURE_DECREASE_FACTOR)
             self.last_decrease_at = now
-        self.pause_ms = min(MAX_PAUSE_MS, max(MIN_PAUSE_MS, 2 * self.pause_ms))
-        self.next_call_at = now + self.pause_ms
+        self.backoff_ms = min(MAX_BACKOFF_MS, max(MIN_BACKOFF_MS, 2 * self.backoff_ms))
+        self.next_call_at = now + self.backoff_ms
--- /dev/null
+++ b/scalelb/policy/housekeeping.py
@@ -0,0 +1,89 @@
+"""Housekeeping: what is done for all tenants once a second, in slices, so that no event waits for long."""
+
+from __future__ import annotations
+
+import random
+
+from scalelb.policy.counter_lease import CounterLeases
+from scalelb.policy.outbox import Outbox
+from scalelb.policy.scheduler import SCHEDULING_CYCLE_MS, Scheduler
+from scalelb.policy.tenant import Tenant
+from scalelb.policy.tenant_table import TenantTable
+
+HOUSEKEEPING_MS = 1000.0  # between two rounds
+VISITED_TENANTS = 256  # in one slice
+SWEPT_RECORDS = 16 * VISITED_TENANTS  # in one slice
+IDLE_MS = 3000.0  # a tenant without requests for so long returns its balance,
+FORGET_MS = 20_000.0  # and is evicted
+
+
+class Housekeeper:
+    """Visits the tenants of one limiter."""
+
+    def __init__(
+        self,
+        outbox: Outbox,
+        tenants: TenantTable,
+        leases: CounterLeases,
+        scheduler: Scheduler,
+        rng: random.Random,
+    ) -> None:
+        self.outbox = outbox
+        self.tenants = tenants
+        self.leases = leases
+        self.scheduler = scheduler
+        self.random = rng
+        self.is_timer_set = False
+        self.unvisited: list[Tenant] = []  # in this round
+        self.spare_units = 0.0  # of tenants without queued requests, found in this round
+
+    def timer_delay_ms(self) -> float | None:
+        """Return the delay of the timer to set; `None` where one is set or there is nothing to keep."""
+        records = self.tenants.records
+        if self.is_timer_set or not (self.tenants.tenants or records.tables or records.left):
+            return None
+        self.is_timer_set = True
+        return SCHEDULING_CYCLE_MS if self.unvisited else HOUSEKEEPING_MS
+
+    def is_round_over(self) -> bool:
+        """Whether all tenants of the last round were visited."""
+        return not self.unvisited
+
+    def begin_round(self) -> None:
+        """Begin to visit all tenants."""
+        self.spare_units = 0.0
+        self.unvisited = list(self.tenants.tenants.values())
+
+    def visit_slice(self, now: float) -> None:
+        """Visit the next tenants, and drop records of buckets that are full again."""
+        visited = self.unvisited[:VISITED_TENANTS]
+        self.unvisited = self.unvisited[VISITED_TENANTS:]
+        self.tenants.records.sweep(now, SWEPT_RECORDS)
+        for tenant in visited:
+            if self.tenants.tenants.get(tenant.name) is tenant:
+                self._visit(tenant, now)
+
+    def _visit(self, tenant: Tenant, now: float) -> None:
+        """Report and return units of a tenant, and evict it once it has been idle for long."""
+        bucket = tenant.bucket
+        if tenant.admitted_end_at:
+            tenant.credit(now, self.leases.refills_itself())
+        if not tenant.queue.requests:
+            self.spare_units += max(0.0, bucket.balance)
+        # Under contention reports are sampled as well: what is owed to the counter can wait.
+        sampling_rate = self.leases.contention.sampling_rate
+        if sampling_rate >= 1 or self.random.random() < sampling_rate:
+            self.outbox.add(self.leases.renew(tenant, now, has_demand=False))
+        idle_ms = now - tenant.last_request_at
+        if idle_ms > IDLE_MS and bucket.balance > bucket.mean_units and bucket.counter_window >= 0:
+            self.outbox.add(self.leases.call(tenant, now, -bucket.balance))
+        if idle_ms > FORGET_MS:
+            self.evict(tenant, now)
+
+    def evict(self, tenant: Tenant, now: float) -> None:
+        """Evict a tenant, unless something of it is in progress."""
+        if tenant.is_busy():
+            return
+        tenant.credit(now, self.leases.refills_itself())
+        self.tenants.evict(tenant, now, self.leases.is_counter_available())
+        self.scheduler.forget(tenant)
--- /dev/null
+++ b/scalelb/policy/limiter.py
@@ -0,0 +1,330 @@
+"""One limiter: events in (`scalelb/policy/events.py`), actions out (`actions.py` there).
+
+`_on_request_arrived` rejects, queues or sends; the scheduling cycle sends what is queued;
+`_on_attempt_ended` settles, and retries or answers; `_on_counter_replied` grants leases. Each rule is in a
+module of its own: `admission`, `queue_times`, `counter_lease`, `attempt_sender`, `endpoint_selection`,
+`slow_start`, `retry`, `retry_after`, `load_feedback`, `housekeeping`. The design follows Gage; changes and
+reasons are in `docs/design.md`.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Iterable
+from math import inf
+from typing import Any
+
+from scalelb.fairness.records import Records
+from scalelb.policy import retry, shared_counter
+from scalelb.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    WatchEndpoints,
+)
+from scalelb.policy.admission import LoadShedder, QuotaCheck
+from scalelb.policy.attempt_sender import AttemptSender
+from scalelb.policy.concurrency_limit import ConcurrencyLimit
+from scalelb.policy.counter_lease import CounterLeases
+from scalelb.policy.endpoint_selection import EndpointSelector
+from scalelb.policy.events import (
+    AttemptEnded,
+    CounterReplied,
+    EndpointListLost,
+    EndpointsListed,
+    Event,
+    Outcome,
+    RequestArrived,
+    RequestCancelled,
+    Started,
+    TimerFired,
+)
+from scalelb.policy.housekeeping import HOUSEKEEPING_MS, IDLE_MS, Housekeeper
+from scalelb.policy.idempotency_keys import ChargedKeys
+from scalelb.policy.load_feedback import LoadFeedback
+from scalelb.policy.outbox import Outbox
+from scalelb.policy.queue_times import QueueTimes
+from scalelb.policy.request import Request
+from scalelb.policy.retry import RetryPolicy
+from scalelb.policy.retry_after import retry_after_ms
+from scalelb.policy.retry_age import RetryAgeEstimator
+from scalelb.policy.running_estimates import RunningEstimates
+from scalelb.policy.scheduler import Scheduler
+from scalelb.policy.settings import Settings
+from scalelb.policy.tenant import Tenant
+from scalelb.policy.tenant_table import TenantTable
+
+SCHEDULING_TIMER = 1
+HOUSEKEEPING_TIMER = 2
+LOW_LATENCY_RATIO = 0.15  # of the shortest objective: below it the endpoints have capacity to spare
+
+
+class Limiter:
+    """Decides for one limiter: `handle` takes each event and returns what to do about it, in order."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        rng = random.Random(seed)
+        self.settings = settings
+        self.shortest_objective_ms = min(kind.latency_objective_ms for kind in settings.request_classes)
+        self.class_precedences = settings.class_precedences()
+        self.started_at = -1.0  # ms; below 0: not yet
+        self.outbox = Outbox()
+
+        mean_units = shared_counter.initial_mean_units(settings)
+        self.estimates = RunningEstimates(self.shortest_objective_ms, mean_units)
+        self.retry_ages = RetryAgeEstimator()
+        self.shedder = LoadShedder(self.class_precedences[0], rng)
+        self.charged_keys = ChargedKeys()
+        self.leases = CounterLeases(settings, self.shortest_objective_ms)
+        self.contention = self.leases.contention
+        self.quota = QuotaCheck(self.leases, self.charged_keys, rng)
+        self.queue_times = QueueTimes(self.estimates, self.leases, self.quota)
+        self.selector = EndpointSelector(settings, self.estimates, rng)
+        self.retries = RetryPolicy(settings, rng)
+        concurrency = ConcurrencyLimit(settings.limiter_count)
+        self.sender = AttemptSender(
+            self.outbox, self.estimates, self.quota, self.retries, concurrency, self.selector
+        )
+        self.requests = self.sender.requests
+        self.attempts = self.sender.attempts
+        self.feedback = LoadFeedback(
+            self.estimates, self.shedder, concurrency, self.retries.budget, self.selector
+        )
+        self.scheduler = Scheduler()
+        records = Records(random.Random(f"records {seed}").randbytes(16))
+        self.tenants = TenantTable(settings, records)
+        self.housekeeper = Housekeeper(self.outbox, self.tenants, self.leases, self.scheduler, rng)
+        self.handlers: dict[type, Callable[[float, Any], None]] = {
+            RequestArrived: self._on_request_arrived,
+            AttemptEnded: self._on_attempt_ended,
+            CounterReplied: self._on_counter_replied,
+            RequestCancelled: self._on_request_cancelled,
+            EndpointsListed: self.selector.on_endpoints_listed,
+            TimerFired: self._on_timer_fired,
+        }
+
+    def handle(self, now: float, event: Event) -> list[Action]:
+        """Take one event at `now` (ms); return the actions that it calls for, in order."""
+        self.outbox.clear()
+        if self.started_at < 0:
+            self.started_at = now
+        handler = self.handlers.get(type(event))
+        if handler is not None:
+            handler(now, event)
+        if self.settings.subscribes_to_endpoints and isinstance(event, Started | EndpointListLost):
+            self.outbox.add(WatchEndpoints())
+        self._set_timer(SCHEDULING_TIMER, self.scheduler.timer_delay_ms(now))
+        self._set_timer(HOUSEKEEPING_TIMER, self.housekeeper.timer_delay_ms())
+        return self.outbox.actions
+
+    def handle_all(self, now: float, events: Iterable[Event]) -> list[Action]:
+        """Take all events that have come in by `now` (ms); return the actions in the order of the events."""
+        return [action for event in events for action in self.handle(now, event)]
+
+    def _set_timer(self, tag: int, delay_ms: float | None) -> None:
+        if delay_ms is not None:
+            self.outbox.add(SetTimer(tag, delay_ms))
+
+    def available_units(self, tenant_name: str, now: float) -> tuple[float, float] | None:
+        """Return what the admission queue goes by: the units on hand here less those queued, with this
+        limiter's part of what the counter said is left; and its part of the rate (units/s).  `None` for a
+        tenant that is not known or has no quota."""
+        tenant = self.tenants.tenants.get(tenant_name)
+        if tenant is None or not tenant.bucket.plan.rate_per_s:
+            return None
+        bucket = tenant.bucket
+        available = bucket.available_here(now, self.leases.is_counter_available())
+        units = bucket.balance + max(bucket.leased, available) - tenant.queue.units
+        return units, bucket.plan.rate_per_s / bucket.sharing_limiters
+
+    # A request arrives, and waits in its tenant's queue
+
+    def _on_request_arrived(self, now: float, event: RequestArrived) -> None:
+        request_class = self.settings.request_classes[event.class_index]
+        precedence = self.class_precedences[event.class_index]
+        tenant = self._tenant_of(now, event)
+        age_ms = self.retry_ages.age_ms(event, request_class)
+        request = Request.from_event(event, tenant, request_class, now, age_ms, precedence)
+        self.requests[event.request_id] = request
+        left_ms = event.expires_in_ms + event.queued_ms
+        is_retry = event.is_retry or left_ms < request_class.latency_objective_ms
+        # Retries are no demand: leases would else grow with clients that retry.
+        tenant.record_demand(now, 0.0 if is_retry else request.units)
+        self._credit(tenant, now)
+        latest_send_at = self.queue_times.latest_send_at(request)
+        if self.shedder.sheds(precedence) or now > latest_send_at:
+            self._finish(request)
+            return
+        is_sampled = self.quota.is_sampled_for_counter(request, now, latest_send_at)
+        if self.quota.is_rejected_unsampled(request, is_sampled):
+            self._finish(request)
+            return
+        if not self._is_sent_at_once(request, now):
+            self._enqueue(request, now)
+            self._reject_overdue(tenant, now)
+        self._renew_lease(tenant, now, is_sampled)
+
+    def _tenant_of(self, now: float, event: RequestArrived) -> Tenant:
+        tenant = self.tenants.find(event.tenant)
+        if tenant is None:
+            uptime_ms = now - self.started_at
+            tenant = self.tenants.create(event, now, uptime_ms, self.estimates.units)
+            for candidate in self.tenants.eviction_candidates():
+                self.housekeeper.evict(candidate, now)
+        return tenant
+
+    def _is_sent_at_once(self, request: Request, now: float) -> bool:
+        if not request.tenant.queue.is_next(request) or self.quota.missing_units(request, now) > 0:
+            return False
+        return self.sender.send(request, now)
+
+    def _enqueue(self, request: Request, now: float) -> None:
+        tenant = request.tenant
+        tenant.queue.insert(request)
+        self.scheduler.schedule(tenant, self.queue_times.next_look_at(request, now))
+
+    def _reject_overdue(self, tenant: Tenant, now: float) -> None:
+        for request in self.queue_times.overdue_requests(tenant, now):
+            self._finish(request)
+
+    def _credit(self, tenant: Tenant, now: float) -> None:
+        tenant.credit(now, self.leases.refills_itself())
+
+    def _renew_lease(self, tenant: Tenant, now: float, has_demand: bool) -> None:
+        self.outbox.add(self.leases.renew(tenant, now, has_demand))
+
+    # The scheduling cycle and housekeeping
+
+    def _on_timer_fired(self, now: float, event: TimerFired) -> None:
+        if event.tag == HOUSEKEEPING_TIMER:
+            self._keep_house(now)
+        if event.tag == SCHEDULING_TIMER and self.scheduler.is_cycle_due(now):
+            self._run_cycle(now)
+
+    def _run_cycle(self, now: float) -> None:
+        self.sender.has_no_capacity = False
+        for tenant in self.scheduler.begin_cycle():
+            if tenant.wake_at <= now:
+                self._look_at(tenant, now)
+            self.scheduler.reschedule(tenant)
+        self.scheduler.rotate()
+        self._lend_spare_units(now)
+
+    def _look_at(self, tenant: Tenant, now: float) -> None:
+        """Credit a tenant, reject what is too late, send what is covered, and say when to look again."""
+        self._credit(tenant, now)
+        for request in [r for r in tenant.queue.requests if now > self.queue_times.latest_send_at(r)]:
+            self._finish(request)
+        self._send_covered(tenant, now)
+        self._renew_lease(tenant, now, now - tenant.last_request_at <= IDLE_MS)
+        times = (self.queue_times.next_look_at(request, now) for request in tenant.queue.requests)
+        tenant.wake_at = min(times, default=inf)
+
+    def _send_covered(self, tenant: Tenant, now: float) -> None:
+        """Send the queued requests from the first on, as far as the balance covers them."""
+        queue = tenant.queue
+        while queue.requests:
+            request = queue.requests[0]
+            if self.quota.missing_units(request, now) > 0 or not self.sender.send(request, now):
+                return
+            queue.remove(request)
+
+    def _lend_spare_units(self, now: float) -> None:
+        """Let queued requests of plans that gain beyond their quota use the spare units of other tenants,
+        while the endpoints have capacity to spare."""
+        if self.housekeeper.spare_units <= 0 or now - self.feedback.last_rejection_at < HOUSEKEEPING_MS:
+            return
+        if self.estimates.latency_ms > LOW_LATENCY_RATIO * self.shortest_objective_ms:
+            return
+        borrowers = [t for t in self.scheduler.active.values() if t.bucket.plan.gains_beyond_quota]
+        for tenant in borrowers:
+            waited = [r for r in tenant.queue.requests if self.queue_times.has_waited_for_spare_units(r, now)]
+            if waited and self.sender.send(waited[0], now, is_charged=False):
+                self.housekeeper.spare_units -= waited[0].units
+                tenant.queue.remove(waited[0])
+
+    def _keep_house(self, now: float) -> None:
+        self.housekeeper.is_timer_set = False
+        if self.housekeeper.is_round_over():
+            self.shedder.recover()
+            self.selector.update_pools(now)
+            for timeout in self.leases.abandoned_calls(now):
+                self._on_counter_replied(now, timeout)
+            self.housekeeper.begin_round()
+        self.housekeeper.visit_slice(now)
+
+    # An attempt ends, a request ends
+
+    def _on_attempt_ended(self, now: float, event: AttemptEnded) -> None:
+        attempt = self.attempts.pop((event.request_id, event.attempt_number), None)
+        if attempt is None:
+            return
+        request = attempt.request
+        tenant = request.tenant
+        tenant.attempts_in_flight -= 1
+        attempt.endpoint.load_in_flight = max(0.0, attempt.endpoint.load_in_flight - attempt.load)
+        if tenant.queue.requests:
+            self.scheduler.schedule(tenant, now)
+        self.sender.has_no_capacity = False
+        self.feedback.record(attempt, event, now, len(self.attempts))
+        if event.true_units:
+            self.feedback.settle(request, event.true_units)
+        if event.request_finished or event.request_id not in self.requests:
+            self.requests.pop(event.request_id, None)
+            return
+        retry.record_execution(attempt, event.outcome)
+        may_retry = self.retries.may_retry(request, event.outcome, self.shedder.admission_probability)
+        if not may_retry or now > self.queue_times.latest_send_at(request):
+            self._finish(request)
+            return
+        self.retries.spend(event.outcome)
+        if not self.sender.send(request, now):
+            self._enqueue(request, now)
+
+    def _finish(self, request: Request) -> None:
+        """Give the final answer: rejected where a retry by the client is provably harmless, else failed."""
+        request.tenant.queue.remove(request)
+        self.requests.pop(request.request_id, None)
+        if not request.can_be_retried_by_client():
+            self.outbox.add(FailRequest(request.request_id))
+            return
+        wait_ms = 0.0
+        if self.settings.sends_retry_after:
+            wait_ms = retry_after_ms(
+                request,
+                self.estimates.latency_ms,
+                self.shedder.admission_probability,
+                self.settings.max_retry_after_ms,
+            )
+        self.outbox.add(RejectRequest(request.request_id, wait_ms))
+
+    def _on_request_cancelled(self, now: float, event: RequestCancelled) -> None:
+        request = self.requests.pop(event.request_id, None)
+        if request is None:
+            return
+        request.tenant.queue.remove(request)
+        attempt_number = request.attempts_sent - 1
+        if self.settings.cancels_attempts and (event.request_id, attempt_number) in self.attempts:
+            self.outbox.add(CancelAttempt(event.request_id, attempt_number))
+
+    # The counter answers
+
+    def _on_counter_replied(self, now: float, event: CounterReplied) -> None:
+        tenant = self.leases.end_call(event.counter_key)
+        if tenant is None:
+            return
+        self.scheduler.schedule(tenant, now)
+        self._credit(tenant, now)
+        if event.outcome not in (Outcome.OK, Outcome.ERROR):
+            self.leases.on_failure(tenant, now, event.outcome)
+            return
+        next_call = self.leases.on_total(tenant, now, event)
+        if next_call is not None:
+            self.outbox.add(next_call)
+            return
+        if tenant.bucket.is_shared:
+            self._send_covered(tenant, now)
+            self._reject_overdue(tenant, now)
+            self._renew_lease(tenant, now, has_demand=False)
--- /dev/null
+++ b/scalelb/policy/request.py
@@ -0,0 +1,99 @@
+"""A client's request that is owed an answer, and its attempts."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from math import inf
+from typing import TYPE_CHECKING
+
+from scalelb.policy.endpoints import Endpoint
+from scalelb.policy.events import RequestArrived
+from scalelb.policy.outlier_detection import TrackedEndpoint
+from scalelb.policy.settings import Idempotency, RequestClass
+
+if TYPE_CHECKING:
+    from scalelb.policy.tenant import Tenant
+
+
+@dataclass(slots=True, eq=False)
+class Request:
+    """A request that is owed an answer."""
+
+    request_id: int
+    tenant: Tenant
+    request_class: RequestClass
+    units: float
+    due_at: float  # ms; an answer after this time is worth less
+    arrived_at: float  # ms
+    rank: tuple[float, float]  # order in its tenant's queue: class precedence, then fewest units
+    attempts_sent: int = 0
+    must_wait_for_counter: bool = False  # it may not overdraw the balance
+    charged_units: float = 0.0
+    last_endpoint: str = ""
+    may_have_executed: bool = False  # an attempt may have been executed
+    executed_at: float = 0.0  # ms; when the first such attempt was sent
+    executed_on: Endpoint | None = None
+    listener_bit: int = 0  # which of the limiter's front ends it came through
+    idempotency_key: str = ""
+    is_admission_only: bool = False  # whoever asks does the forwarding
+
+    @classmethod
+    def from_event(
+        cls,
+        event: RequestArrived,
+        tenant: Tenant,
+        request_class: RequestClass,
+        now: float,
+        age_ms: float,
+        precedence: float,
+    ) -> Request:
+        """Return the record of a request that arrives now (ms), first sent by its client `age_ms` ago.
+
+        Among requests of one precedence fewer units go first: the balance covers them sooner, and a unit
+        earns the same whichever request uses it. Where limiters share one bucket on the counter, each is
+        granted its own units, and those of one that is overtaken would cover no other.
+        """
+        units = event.units or tenant.bucket.mean_units
+        objective_left_ms = request_class.latency_objective_ms - event.queued_ms - age_ms
+        return cls(
+            request_id=event.request_id,
+            tenant=tenant,
+            request_class=request_class,
+            units=units,
+            due_at=now + min(objective_left_ms, event.expires_in_ms),
+            arrived_at=now,
+            rank=(precedence, 0.0 if tenant.bucket.is_shared else -units),
+            listener_bit=1 << event.listener,
+            idempotency_key=event.idempotency_key,
+            is_admission_only=event.admission_only,
+            may_have_executed=event.executed_on is not None,
+            executed_at=event.executed_at,
+            executed_on=event.executed_on,
+        )
+
+    @property
+    def must_retry_before(self) -> float:
+        """The time (ms) before which a further attempt has to begin: any time while nothing was executed or
+        the request is idempotent, never once one that is not idempotent may have been executed."""
+        if not self.may_have_executed:
+            return inf
+        idempotency = self.request_class.idempotency
+        if idempotency is Idempotency.IDEMPOTENT:
+            return inf
+        if idempotency is Idempotency.IDEMPOTENCY_KEY:
+            return self.executed_at + self.request_class.idempotency_window_ms
+        return -inf
+
+    def can_be_retried_by_client(self) -> bool:
+        """Whether a retry by the client is harmless, so that the final answer may be a rejection."""
+        return not self.may_have_executed or self.request_class.is_retriable_anywhere
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """An attempt in flight."""
+
+    request: Request
+    endpoint: TrackedEndpoint
+    load: float  # in mean requests
+    sent_at: float  # ms
--- /dev/null
+++ b/scalelb/policy/retry.py
@@ -0,0 +1,90 @@
+"""Retries: whether a failed attempt is followed by another one, on which endpoints, and until when."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable
+
+from scalelb.policy.events import NEVER_EXECUTED, NEVER_REACHED_ENDPOINT, Outcome
+from scalelb.policy.idempotency_keys import deduplication_group, preferred_groups
+from scalelb.policy.outlier_detection import TrackedEndpoint
+from scalelb.policy.request import Attempt, Request
+from scalelb.policy.retry_budget import RetryBudget
+from scalelb.policy.settings import DeduplicationScope, Idempotency, Settings
+
+TIMEOUT_OBJECTIVE_RATIO = 0.5  # an attempt that can be retried is given up after this part of the objective,
+TIMEOUT_LATENCY_FACTOR = 4.0  # or this many times the usual latency, if that is longer
+
+
+class RetryPolicy:
+    """Decides on the retries of one limiter."""
+
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
+        self.max_attempts = settings.max_attempts
+        self.random = rng
+        self.budget = RetryBudget(settings.limiter_count)
+
+    def attempt_timeout_ms(self, request: Request, now: float, usual_latency_ms: float) -> float:
+        """Return how long to wait for an attempt; 0: until the client's deadline, where no further attempt is
+        possible or could still be in time."""
+        request_class = request.request_class
+        if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
+            return 0.0
+        if request.attempts_sent + 1 >= self.max_attempts:
+            return 0.0
+        timeout_ms = max(
+            TIMEOUT_OBJECTIVE_RATIO * request_class.latency_objective_ms,
+            TIMEOUT_LATENCY_FACTOR * usual_latency_ms,
+        )
+        if now + timeout_ms + usual_latency_ms >= request.due_at:
+            return 0.0
+        return timeout_ms
+
+    def may_retry(self, request: Request, outcome: Outcome, admission_probability: float) -> bool:
+        """Whether attempts and budget allow another attempt; the time that is left is checked by the caller.
+
+        A timeout under overload is retried with the admission probability only: the endpoints are busy with
+        the first attempt still. An attempt that never reached an endpoint costs no budget.
+        """
+        is_allowed = request.attempts_sent < self.max_attempts
+        if self.budget.is_exhausted() and outcome not in NEVER_REACHED_ENDPOINT:
+            is_allowed = False
+        if outcome is Outcome.TIMEOUT and self.random.random() > admission_probability:
+            is_allowed = False
+        return is_allowed
+
+    def spend(self, outcome: Outcome) -> None:
+        """Charge the retry budget for the attempt that follows `outcome`."""
+        if outcome not in NEVER_REACHED_ENDPOINT:
+            self.budget.spend()
+
+
+def record_execution(attempt: Attempt, outcome: Outcome) -> None:
+    """Record where and when a request may have been executed first; a retry has to go by that."""
+    request = attempt.request
+    if outcome in NEVER_EXECUTED or request.may_have_executed:
+        return
+    request.may_have_executed = True
+    request.executed_at = attempt.sent_at
+    request.executed_on = attempt.endpoint.endpoint
+
+
+def allowed_groups(request: Request, now: float, endpoints: Iterable[TrackedEndpoint]) -> list[int | None]:
+    """Return the deduplication groups that an attempt may go to, in order; `None`: any endpoint.
+
+    A request with an idempotency key that may have been executed goes only where its duplicate is dropped,
+    and only within the idempotency window; one that is not idempotent goes nowhere. A key's first attempt
+    goes to its preferred group, as a retry through another limiter will.
+    """
+    request_class = request.request_class
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
+        return [None]
+    scope = request_class.deduplication_scope
+    if request.may_have_executed:
+        if request.executed_on is None or now >= request.must_retry_before:
+            return []
+        return [deduplication_group(request.executed_on, scope)]
+    if request.idempotency_key and scope is not DeduplicationScope.ALL:
+        groups = {deduplication_group(tracked.endpoint, scope) for tracked in endpoints}
+        return preferred_groups(request.idempotency_key, groups)
+    return [None]
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -16,12 +16,12 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import LogEvent, LogLevel, formatEvent, globalLogBeginner
 
+from scalelb.policy.handover import leave_handover, take_handover
 from scalelb.program.config import Config, ConfigError, compare, read_config
 from scalelb.program.log import Bounded, log
 from scalelb.program.loop import Loop, unix_clock
 from scalelb.program.succession import Succession
 from scalelb.protocol.agentcheck import Status
-from scalelb.routing.handover import take_in, take_out
 from scalelb.transport.admin import AdminDoor
 from scalelb.transport.director import DirectorWatch
 from scalelb.transport.pace import Pace
@@ -150,10 +150,10 @@
                 self.waiting = self.reactor.seconds()
             self.reactor.callLater(TAKE_OVER_LOOK_S, self.take_over)
             return
-        now, gateway = self.loop.clock(), self.loop.core.gateway
-        taken, faulty = take_in(gateway, account, now) if account else (0, 0)
+        now, limiter = self.loop.clock(), self.loop.core.limiter
+        taken, faulty = take_handover(limiter, account, now) if account else (0, 0)
         if account is None and lives:  # guards the quotas: nobody gets a fresh share beside the old one's
-            gateway.records.given_way_until = now + 1000 * OVERLAP_S
+            limiter.tenants.records.given_way_until = now + 1000 * OVERLAP_S
         self.accept()
         self.log("taken over", lives=lives, told=account is not None, entries=taken, faulty=faulty)
         self.alone()
@@ -179,7 +179,7 @@
         """A later life serves: take nothing new, leave it what is on hand, finish the rest."""
         assert self.succession is not None
         self.loop.core.turn()
-        account = take_out(self.loop.core.gateway, self.loop.clock())
+        account = leave_handover(self.loop.core.limiter, self.loop.clock())
         self.succession.leave(account)
         self.loop.pool.rest_no_longer()
         self.halve()
@@ -272,7 +272,7 @@
 
     def tell_status(self) -> tuple[Status, float]:
         """For other balancers: how the limiter is, and the part of the requests that it lets in."""
-        return self.status, self.loop.core.gateway.open
+        return self.status, self.loop.core.limiter.shedder.admission_probability
 
     def show(self, status: Status) -> None:
         """Change the status, at every listener."""
@@ -307,7 +307,7 @@
         """Log what was done lately."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         cpu = used.ru_utime + used.ru_stime
-        core, gateway = self.loop.core, self.loop.core.gateway
+        core, limiter = self.loop.core, self.loop.core.limiter
         tally, core.tally = core.tally, {}
         self.log(
             "tally",
@@ -316,12 +316,12 @@
             sessions=len(self.door.sessions),
             connections=self.loop.pool.total,
             open=len(core.tickets),
-            attempts=len(gateway.attempts),  # as the decisions have it,
+            attempts=len(limiter.attempts),  # as the decisions have it,
             fetches=self.loop.pool.fetching(),  # and as the sockets do
-            serving=[len(gateway.servers), len(self.loop.pool.backends)],
-            held=sum(len(c.queue) for c in gateway.active.values()),
-            let_in=round(gateway.open, 3),
-            usual_ms=round(gateway.usual, 1),
+            serving=[len(limiter.selector.endpoints), len(self.loop.pool.backends)],
+            held=sum(len(t.queue.requests) for t in limiter.scheduler.active.values()),
+            let_in=round(limiter.shedder.admission_probability, 3),
+            usual_ms=round(limiter.estimates.latency_ms, 1),
             counts=dict(sorted(tally.items())),
             **(core.door.told() if core.door is not None else {}),
             **(self.links.told() if self.links is not None else {}),
--- a/scalelb/program/idempotency_records.py
+++ b/scalelb/program/idempotency_records.py
@@ -15,9 +15,9 @@
 
 from scalelb.peers import Life
 from scalelb.policy.endpoints import Endpoint, EndpointState
+from scalelb.policy.request import Request
 from scalelb.policy.settings import DeduplicationScope, Idempotency
 from scalelb.routing.core import Core
-from scalelb.routing.state import Request
 
 KEYED = "k:"
 OWN_MOST, HEARD_MOST = 8192, 65_536  # keys told; keys known of others
@@ -46,15 +46,15 @@
 
     def sends(self, request: Request) -> None:
         """Tell it before it is sent."""
-        kind, now = request.kind, self.clock()
+        kind, now = request.request_class, self.clock()
         if (
-            not request.key
+            not request.idempotency_key
             or kind.idempotency is not Idempotency.IDEMPOTENCY_KEY
             or kind.deduplication_scope is DeduplicationScope.ALL
         ):
             return
-        server = self.core.gateway.attempts[request.ident, request.sends - 1].server.info
-        name = f"{request.customer.name} {request.key}"
+        server = self.core.limiter.attempts[request.request_id, request.attempts_sent - 1].endpoint.endpoint
+        name = f"{request.tenant.name} {request.idempotency_key}"
         self.own.pop(name, None)
         if len(self.own) >= OWN_MOST:  # guards the memory: the oldest goes
             self._end(next(iter(self.own)))
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -170,8 +170,10 @@
 
     def ejected(self) -> int:
         """Backends in the list that are left out, by hand or because they can't be reached."""
-        now, servers = self.clock(), self.core.gateway.servers
-        return sum(self.bans.out(n) or (n in servers and servers[n].down > now) for n in self.pool.backends)
+        now, servers = self.clock(), self.core.limiter.selector.endpoints
+        return sum(
+            self.bans.out(n) or (n in servers and servers[n].ejected_until > now) for n in self.pool.backends
+        )
 
     def replaced(self, infos: list[Endpoint]) -> list[Endpoint]:
         """Guards a new backend at the address of another: there is one machine at an address, so the other is
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -20,20 +20,20 @@
 from collections.abc import Callable
 from enum import Enum
 from itertools import islice
-from math import exp, inf, isfinite
+from math import inf, isfinite
 from typing import Any
 from zlib import crc32
 
 from scalelb.fairness.records import Record
 from scalelb.peers import Life, Mesh
+from scalelb.policy import outlier_detection
+from scalelb.policy.handover import leave_handover
+from scalelb.policy.idempotency_keys import preferred_groups
+from scalelb.policy.tenant import Tenant
 from scalelb.program.idempotency_records import FAR_MS, KEYED
 from scalelb.program.idempotency_records import IdempotencyRecords as Tries
-from scalelb.routing import health
 from scalelb.routing.bans import Bans, Word
 from scalelb.routing.core import Core
-from scalelb.routing.handover import take_out
-from scalelb.routing.keys import homes
-from scalelb.routing.state import Customer
 
 ACCOUNTS_MOST = 100_000  # published at once
 ENDED = 64  # accounts looked at in one tick, whether their store is full again
@@ -85,7 +85,7 @@
         self.tries = Tries(core, clock, self.write, flush)
         mesh.on_settled, mesh.on_closed, mesh.on_entry = self.settled, self.closed, self.entered
         # Until it has settled nobody gets a fresh share: a former life may have granted it.
-        core.gateway.records.given_way_until = inf
+        core.limiter.tenants.records.given_way_until = inf
 
     def write(self, key: str, value: Any) -> None:
         """An own entry, or its end."""
@@ -113,24 +113,23 @@
     # What is told
 
     def _publish_accounts(self, at: float, now: float) -> None:
-        gateway, since = self.core.gateway, self.since
+        limiter, since = self.core.limiter, self.since
         self.since = at
-        for c in reversed(gateway.customers.values()):
-            if c.seen < since:
+        for c in reversed(limiter.tenants.tenants.values()):
+            if c.last_request_at < since:
                 break
             self._publish(c, at, now)
-        for c in list(gateway.active.values()):
-            if c.seen < since:
+        for c in list(limiter.scheduler.active.values()):
+            if c.last_request_at < since:
                 self._publish(c, at, now)
         for name in [n for n, full_at in islice(self.published.items(), ENDED) if full_at <= at]:
             del self.published[name]
             self.mesh.write("u:" + name, None, now)
 
-    def _publish(self, c: Customer, at: float, now: float) -> None:
-        gateway = self.core.gateway
-        if not c.plan.rate_per_s and not c.plan.ceiling_rate_per_s:
+    def _publish(self, c: Tenant, at: float, now: float) -> None:
+        if not c.bucket.plan.rate_per_s and not c.bucket.plan.ceiling_rate_per_s:
             return
-        record = c.record(at, gateway.backoff > 0)
+        record = c.bucket.to_record(at, self.core.limiter.leases.is_counter_available())
         if record.full_at <= at and c.name not in self.published:
             return
         if len(self.published) >= ACCOUNTS_MOST and c.name not in self.published:
@@ -142,22 +141,28 @@
         self.mesh.write("u:" + c.name, [*told, record.window, round(record.at), round(record.full_at)], now)
 
     def _publish_backends(self, at: float, now: float) -> None:
-        gateway = self.core.gateway
-        lasts = health.memory(gateway.gap, len(gateway.servers))
+        limiter = self.core.limiter
+        endpoints = limiter.selector.endpoints
+        lasts = outlier_detection.fault_memory_ms(limiter.estimates.answer_interval_ms, len(endpoints))
         own = self.mesh.own().entries
-        for name, server in gateway.servers.items():
+        for name, server in endpoints.items():
             key = "b:" + name
             said = key in own and own[key].value is not None
-            bad = server.failing * exp((server.marked - at) / lasts) > BAD and server.heard >= HEARD
+            bad = server.current_failure_ratio(at, lasts) > BAD and server.answer_weight >= HEARD
             # What is agreed on stays said until it was tried: else all would find it out anew.
-            bad |= said and name in self.agreed and name not in self.relied and server.goods < GOODS
+            bad |= (
+                said
+                and name in self.agreed
+                and name not in self.relied
+                and server.consecutive_successes < GOODS
+            )
             if bad != said:
-                self.mesh.write(key, [round(server.info.started_at)] if bad else None, now)
-            if self.agreed.get(name) == self.mesh.life.name and server.goods >= GOODS:
+                self.mesh.write(key, [round(server.endpoint.started_at)] if bad else None, now)
+            if self.agreed.get(name) == self.mesh.life.name and server.consecutive_successes >= GOODS:
                 self.trusted[name] = at
-                self.mesh.write("t:" + name, [round(server.info.started_at)], now)
+                self.mesh.write("t:" + name, [round(server.endpoint.started_at)], now)
         for name, when in list(self.trusted.items()):
-            goods = gateway.servers[name].goods if name in gateway.servers else 0
+            goods = endpoints[name].consecutive_successes if name in endpoints else 0
             if at - when > TRUST_MS or goods < GOODS:
                 del self.trusted[name]
                 self.mesh.write("t:" + name, None, now)
@@ -182,14 +187,14 @@
 
     def settled(self) -> None:
         """All that peers know of this limiter's former lives is here: go on from there."""
-        records, now, taken = self.core.gateway.records, self.clock(), 0
+        records, now, taken = self.core.limiter.tenants.records, self.clock(), 0
         self.close_at = now
         for life in self.mesh.former():
             for key, value in self.mesh.replica.chains[life].live():
                 if key[:2] == "u:" and (record := read_account(value, now)) is not None:
                     self.close_at = max(self.close_at, min(record.full_at, now + CLOSE_MS))
                     name, old = key[2:], records.left.get(key[2:])
-                    if name not in self.core.gateway.customers and (old is None or old.at <= record.at):
+                    if name not in self.core.limiter.tenants.tenants and (old is None or old.at <= record.at):
                         records.left[name] = record
                         taken += 1
                 elif key[:2] == "x:":
@@ -201,7 +206,7 @@
 
     def closed(self) -> None:
         """A newer life of this name is at work: what is on hand is its own, and nothing new is granted."""
-        take_out(self.core.gateway, self.clock())
+        leave_handover(self.core.limiter, self.clock())
 
     def entered(self, life: Life, key: str, value: Any) -> None:
         """A peer's entry is new here, or has ended."""
@@ -228,23 +233,23 @@
     def _heed(self, at: float) -> None:
         """What peers say of backends.  Two have to say so, of few backends: one wrong peer alone takes no
         healthy backend out, and where most look bad it is not they that are."""
-        mesh, servers, listed = self.mesh, self.core.gateway.servers, self.bans.listed
+        mesh, servers, listed = self.mesh, self.core.limiter.selector.endpoints, self.bans.listed
         own = {key for key, entry in mesh.own().entries.items() if entry.value is not None}
         alive = [] if mesh.alone(self.written) else mesh.alive(self.written)
         bad = {n: len(self._voices("b:" + n)) + ("b:" + n in own) for n in servers}
         agreed = sorted((n for n in bad if bad[n] >= VOICES), key=lambda n: (-bad[n], n))
         most = max(1, int(PART * len(servers)))
         agreed = agreed if alive and len(agreed) <= most else []
-        self.agreed = {n: homes(n, alive)[0] for n in agreed}
+        self.agreed = {n: preferred_groups(n, alive)[0] for n in agreed}
         for name, trier in self.agreed.items():
             server = servers[name]
             if trier == mesh.life.name:
                 continue  # tries it by its own marks, as one limiter does
             if trier not in self._voices("t:" + name):
-                server.down = max(server.down, at + HOLD_MS)
+                server.ejected_until = max(server.ejected_until, at + HOLD_MS)
             elif name not in self.relied:  # once for each word: own answers count from here on
                 self.relied[name] = at
-                health.trust(server, self.core.gateway.usual)
+                server.clear_faults(self.core.limiter.estimates.latency_ms)
         for name in [n for n, when in self.relied.items() if at - when > TRUST_MS]:
             del self.relied[name]
         gone = [n for n in sorted(listed) if len(self._voices("g:" + n)) >= VOICES]
--- a/scalelb/protocol/headers.py
+++ b/scalelb/protocol/headers.py
@@ -2,7 +2,7 @@
 
 | header | what it says | without it |
 | --- | --- | --- |
-| `X-Customer` | the review center, 16 hex digits, below 2^33 | malformed |
+| `X-Tenant` | the review center, 16 hex digits, below 2^33 | malformed |
 | `X-Priority-Class` | the class, named as in the settings | malformed |
 | `X-Plan` | the plan, named as in the settings | malformed |
 | `X-Quota` | `units=2,spread=3,first=1`: units, and which limiters it comes through | 1, 1, 0 |
--- a/scalelb/routing/core.py
+++ b/scalelb/routing/core.py
@@ -40,9 +40,9 @@
     Started,
     TimerFired,
 )
+from scalelb.policy.limiter import Limiter
+from scalelb.policy.request import Request
 from scalelb.policy.settings import Settings
-from scalelb.routing.control import Gateway
-from scalelb.routing.state import Request
 
 TIMER, EXPIRY, OVERFULL, LOOK = -1, -2, -3, -4  # marks of timers; from 0 on: an attempt's patience
 TIMERS_LEAST = 256  # that are kept however few requests are open
@@ -151,7 +151,7 @@
     ) -> None:
         self.fault = fault
         self.settings, self.ports, self.clock, self.limits = settings, ports, clock, limits
-        self.gateway = Gateway(settings, seed)
+        self.limiter = Limiter(settings, seed)
         most = settings.max_retry_after_ms if settings.sends_retry_after else 1.0
         self.door = FairDoor(door, most) if door is not None else None
         self.replicas: Replicas | None = None  # none: no links to other limiters
@@ -328,7 +328,7 @@
     def _decide(self, events: list[Event], now: float) -> None:
         """Hand events to the decisions and carry out what they return."""
         try:
-            for action in self.gateway.take(now, events):
+            for action in self.limiter.handle_all(now, events):
                 self._carry_out(action, now)
         except Exception as error:  # guards all other requests, and the timers, against a fault with one
             self._note("fault")
@@ -349,7 +349,7 @@
             self._timer(at, 0, LOOK)
 
     def _release(self, door: FairDoor, now: float) -> None:
-        while released := door.release(now, self.gateway.blocked):  # ends: the door empties
+        while released := door.release(now, self.limiter.sender.has_no_capacity):  # ends: the door empties
             events: list[Event] = []
             for held in released:
                 waited = now - held.since
@@ -360,7 +360,7 @@
 
     def _let_in(self, door: FairDoor, event: RequestArrived, now: float) -> None:
         """Ask the door about one that arrives; it may give another's place to it."""
-        kind, gateway = self.settings.request_classes[event.class_index], self.gateway
+        kind, limiter = self.settings.request_classes[event.class_index], self.limiter
         ticket = self.tickets.get(event.request_id)
         if ticket is None or ticket.done:
             return
@@ -371,14 +371,16 @@
             customer=event.tenant,
             plan=event.plan_index,
             units=event.units,
-            latest=due - gateway.need(kind),
+            latest=due - limiter.queue_times.needed_time_ms(kind),
             worth=kind.priority_weight,
             retry=event.is_retry,
             client=ticket.client,
-            known=gateway.knows(event.tenant),
-            free=gateway.keys.counted(event.tenant, event.idempotency_key, 1 << event.listener, now),
+            known=limiter.tenants.knows(event.tenant),
+            free=limiter.charged_keys.is_charged_elsewhere(
+                event.tenant, event.idempotency_key, 1 << event.listener, now
+            ),
         )
-        ticket.size = 0.5 + 0.5 * event.units / gateway.mean
+        ticket.size = limiter.estimates.relative_size(event.units)
         step, advice, displaced = door.arrive(now, ask, credit, event)
         if displaced is not None:
             self._turn_away(displaced.ask.ident, advice)
@@ -388,7 +390,7 @@
             self._turn_away(event.request_id, advice)
 
     def _credit(self, customer: str, now: float) -> Credit | None:
-        told = self.gateway.credit(customer, now)
+        told = self.limiter.available_units(customer, now)
         return Credit(*told) if told is not None else None
 
     def _left(self, ticket: Ticket) -> None:
@@ -447,7 +449,7 @@
             self._send(action, now)
         elif isinstance(action, AdmitRequest):
             if self.door is not None:
-                self.door.admitted(now, action.request_id, self.gateway.usual)
+                self.door.admitted(now, action.request_id, self.limiter.estimates.latency_ms)
             self._final(action.request_id, Verdict.ADMITTED)
         elif isinstance(action, RejectRequest):
             self._final(action.request_id, Verdict.REFUSED, self._advice(action, now))
@@ -491,13 +493,13 @@
             self._timer(now + patience, ticket.ident, ticket.attempt)
         ticket.out = True
         self._note("fetches")
-        if self.replicas is not None and (request := self.gateway.requests.get(ticket.ident)) is not None:
+        if self.replicas is not None and (request := self.limiter.requests.get(ticket.ident)) is not None:
             self.replicas.sends(request)  # before it is sent: whoever dies in between has sent nothing
         if self.door is not None:
             self.door.sent(ticket.ident)
-            server = self.gateway.servers.get(action.endpoint)
+            server = self.limiter.selector.endpoints.get(action.endpoint)
             own = 2.0 * ticket.size - 1.0
-            ticket.load = server.load - own if server is not None else 0.0
+            ticket.load = server.load_in_flight - own if server is not None else 0.0
         self.ports.fetch(ticket, action.endpoint, patience)
 
     def _give_up(self, ticket: Ticket, outcome: Outcome) -> None:
--- a/scalelb/wirehost.py
+++ b/scalelb/wirehost.py
@@ -1,6 +1,6 @@
 """The simulator's wire: JSON lines to events, actions to JSON lines.  It decides nothing.
 
-Each instance has a `Gateway` of its own and shares nothing with the others.  Malformed input ends the program
+Each instance has a `Limiter` of its own and shares nothing with the others.  Malformed input ends the program
 with a plain message; a fault inside a gateway is declared with `BailOut`.
 """
 
@@ -39,8 +39,8 @@
     Started,
     TimerFired,
 )
+from scalelb.policy.limiter import Limiter
 from scalelb.program.config import ConfigError, read_settings
-from scalelb.routing.control import Gateway
 
 Fields = dict[str, Any]
 
@@ -175,7 +175,7 @@
     """Hosts the instances of one process and speaks the wire for them."""
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Gateway] = {}
+        self.gateways: dict[int, Limiter] = {}
         self.rosters: dict[int, tuple[Endpoint, ...]] = {}
         self.frame: int | None = None
         self.now = 0.0
@@ -221,7 +221,7 @@
     def _event(self, name: str, fields: Fields) -> None:
         instance = fields["i"]
         if name == "PowerOn":
-            self.gateways[instance] = Gateway(read_settings(fields["options"]), fields["seed"])
+            self.gateways[instance] = Limiter(read_settings(fields["options"]), fields["seed"])
             self._decide(instance, Started())
         elif name == "Shutdown":
             self.gateways.pop(instance, None)
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""Drives one gateway by hand: settings, events in order, actions by type."""
+"""Drives one limiter by hand: settings, events in order, actions by type."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any, TypeVar
 
-from scalelb import Gateway
+from scalelb import Limiter
 from scalelb.policy.actions import Action, AddToCounter, RejectRequest, SendAttempt, SetTimer
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import (
@@ -50,12 +50,12 @@
 
 
 class Driver:
-    """One gateway, its clock and what it did last."""
+    """One limiter, its clock and what it did last."""
 
     def __init__(
         self, settings: Settings = SETTINGS, count: int = 3, now: float = 1000.0, seed: int = 7
     ) -> None:
-        self.gateway = Gateway(settings, seed)
+        self.limiter = Limiter(settings, seed)
         self.now = now
         self.ids = 0
         self.did: list[Action] = []
@@ -65,7 +65,7 @@
 
     def give(self, event: Event) -> list[Action]:
         """Hand over one event."""
-        actions = self.gateway.handle(self.now, event)
+        actions = self.limiter.handle(self.now, event)
         self.did.extend(actions)
         self.timers += [(self.now + a.delay_ms, a.tag) for a in of(SetTimer, actions)]
         return actions
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -11,7 +11,7 @@
 
 from driver import SETTINGS, servers
 
-from scalelb import Gateway
+from scalelb import Limiter
 from scalelb.policy.actions import Action, AddToCounter, FailRequest, RejectRequest, SendAttempt, SetTimer
 from scalelb.policy.events import (
     AttemptEnded,
@@ -35,16 +35,16 @@
         self.settings = replace(SETTINGS, limiter_count=count, **({"max_units": 6.0} | fields))
         self.now, self.order, self.due = 1_000_000.0, 0, list[Any]()
         self.random = random.Random(seed)
-        self.gateways = [Gateway(replace(self.settings, limiter_index=n), seed + n) for n in range(count)]
+        self.limiters = [Limiter(replace(self.settings, limiter_index=n), seed + n) for n in range(count)]
         self.counted: dict[int, float] = defaultdict(float)
         self.stores: dict[str, tuple[float, float]] = {}
         self.asked: dict[int, tuple[str, int, float, int]] = {}  # customer, plan, units, sends
         self.seen: Counter[str] = Counter()
         self.silent = False  # the counter: no connection to it comes up
         self.took: Callable[[str], float] = lambda server: 200.0
-        for gateway in self.gateways:
-            self.give(gateway, Started())
-            self.give(gateway, EndpointsListed(servers(backends), is_complete=True))
+        for limiter in self.limiters:
+            self.give(limiter, Started())
+            self.give(limiter, EndpointsListed(servers(backends), is_complete=True))
 
     def at(self, delay_ms: float, do: Callable[[], None]) -> None:
         self.order += 1
@@ -57,12 +57,12 @@
             do()
         self.now = end
 
-    def give(self, gateway: Gateway, event: Event) -> None:
-        for action in gateway.handle(self.now, event):
-            self.carry_out(gateway, action)
+    def give(self, limiter: Limiter, event: Event) -> None:
+        for action in limiter.handle(self.now, event):
+            self.carry_out(limiter, action)
 
-    def later(self, gateway: Gateway, delay_ms: float, event: Event) -> None:
-        self.at(delay_ms, lambda: self.give(gateway, event))
+    def later(self, limiter: Limiter, delay_ms: float, event: Event) -> None:
+        self.at(delay_ms, lambda: self.give(limiter, event))
 
     def ask(self, customer: str, door: int, units: float, **fields: Any) -> None:
         ident = len(self.asked) + 1
@@ -74,18 +74,18 @@
         } | fields
         self.asked[ident] = (customer, given["plan_index"], units, 0)
         self.seen["asked"] += 1
-        self.give(self.gateways[door], RequestArrived(ident, customer, units=units, **given))
+        self.give(self.limiters[door], RequestArrived(ident, customer, units=units, **given))
 
     def store(self, customer: str, plan: Plan) -> float:
         held, at = self.stores.get(customer, (plan.burst, self.now))
         return min(plan.burst, held + plan.rate_per_s * (self.now - at) / 1000)
 
-    def carry_out(self, gateway: Gateway, action: Action) -> None:
+    def carry_out(self, limiter: Limiter, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.later(gateway, action.delay_ms, TimerFired(action.tag))
+            self.later(limiter, action.delay_ms, TimerFired(action.tag))
         elif isinstance(action, AddToCounter):
             self.seen["calls"] += 1
-            self.at(TOLD_MS, lambda: self.count(gateway, action))
+            self.at(TOLD_MS, lambda: self.count(limiter, action))
         elif isinstance(action, SendAttempt):
             customer, place, units, sends = self.asked[action.request_id]
             self.asked[action.request_id] = (customer, place, units, sends + 1)
@@ -101,18 +101,18 @@
             ended = AttemptEnded(
                 action.request_id, sends, action.endpoint, outcome, abs(elapsed), outcome is Outcome.OK
             )
-            self.later(gateway, abs(elapsed), ended)
+            self.later(limiter, abs(elapsed), ended)
         elif isinstance(action, RejectRequest | FailRequest):
             customer, place, units, _ = self.asked[action.request_id]
             plan = self.settings.plans[place]
             self.seen["refused"] += 1
             self.seen["refused with room"] += self.store(customer, plan) >= max(units, plan.burst / 2)
 
-    def count(self, gateway: Gateway, call: AddToCounter) -> None:
+    def count(self, limiter: Limiter, call: AddToCounter) -> None:
         if self.silent:
             failed = CounterReplied(call.counter_key, Outcome.CONNECT_FAILED, 0.0, 2 * TOLD_MS)
-            self.later(gateway, TOLD_MS, failed)
+            self.later(limiter, TOLD_MS, failed)
             return
         self.counted[call.counter_key] += call.amount
         total = self.counted[call.counter_key]
-        self.later(gateway, TOLD_MS, CounterReplied(call.counter_key, Outcome.OK, total, 2 * TOLD_MS))
+        self.later(limiter, TOLD_MS, CounterReplied(call.counter_key, Outcome.OK, total, 2 * TOLD_MS))
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -71,8 +71,8 @@
 
     def fetch(self, ticket: Ticket, server: str, patience_ms: float) -> None:
         self.fetched.append((str(ticket.ident), server))
-        units, mean = self.core.gateway.requests[ticket.ident].units, self.core.gateway.mean
-        attempt, took = ticket.attempt, self.core.gateway.usual * (0.5 + 0.5 * units / mean)
+        units, mean = self.core.limiter.requests[ticket.ident].units, self.core.limiter.estimates.units
+        attempt, took = ticket.attempt, self.core.limiter.estimates.latency_ms * (0.5 + 0.5 * units / mean)
         self.due.append((self.now + took, lambda: self._served(ticket, attempt)))
 
     def _served(self, ticket: Ticket, attempt: int) -> None:
--- a/tests/test_authorization.py
+++ b/tests/test_authorization.py
@@ -82,7 +82,7 @@
         assert answer.status.code == code_pb2.OK
         assert answer.HasField("ok_response")
         assert not g.back.fetched
-        assert g.back.core.gateway.customers[ADA].balance < 16.0 - 3.0
+        assert g.back.core.limiter.tenants.tenants[ADA].bucket.balance < 16.0 - 3.0
 
     play(story)
 
@@ -156,7 +156,7 @@
 
 
 def held(g: Gateway) -> int:
-    return sum(len(c.queue) for c in g.back.core.gateway.customers.values())
+    return sum(len(c.queue.requests) for c in g.back.core.limiter.tenants.tenants.values())
 
 
 async def use_up(g: Gateway) -> None:
@@ -184,12 +184,15 @@
     async def story(g: Gateway) -> None:
         g.back.counter.silent = silent
         await use_up(g)
-        ada = g.back.core.gateway.customers[ADA]
-        calls, before = g.back.counter.calls, (ada.balance, ada.block, ada.unreported, ada.queued)
+        ada = g.back.core.limiter.tenants.tenants[ADA]
+        calls, before = (
+            g.back.counter.calls,
+            (ada.bucket.balance, ada.bucket.leased, ada.bucket.unreported, ada.queue.units),
+        )
         g.waiting.cancel()  # type: ignore[attr-defined]
         await left(g)
-        assert (ada.balance, ada.block, ada.unreported) == before[:3]
-        assert not ada.queue
+        assert (ada.bucket.balance, ada.bucket.leased, ada.bucket.unreported) == before[:3]
+        assert not ada.queue.requests
         assert g.back.counter.calls == calls
         g.back.run(5000.0)
         assert not g.back.core.tickets
@@ -202,11 +205,11 @@
         call = g.call(question(x_quota="units=3"), timeout=60)
         await g.taken(1)
         g.back.run()  # admitted; the answer is still on its way
-        after = g.back.core.gateway.customers[ADA].balance
+        after = g.back.core.limiter.tenants.tenants[ADA].bucket.balance
         call.cancel()
         await asyncio.sleep(0.02)
         g.back.run()
-        assert g.back.core.gateway.customers[ADA].balance == after
+        assert g.back.core.limiter.tenants.tenants[ADA].bucket.balance == after
         assert g.back.core.tally["admitted"] == 1
 
     play(story)
@@ -297,8 +300,10 @@
                 assert answer.status.code == code_pb2.OK
             else:
                 through_platform(g.back, "k1")
-        ada = g.back.core.gateway.customers[ADA]
-        charged = ada.room() / ada.doors - ada.balance  # time stands still: no credit came in
+        ada = g.back.core.limiter.tenants.tenants[ADA]
+        charged = (
+            ada.bucket.capacity() / ada.bucket.sharing_limiters - ada.bucket.balance
+        )  # time stands still: no credit came in
         assert charged == 2.0 * counted
 
     play(story, Backside(replace(SITE, plans=(Plan(rate_per_s=4.0, burst=100.0),))))
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -20,5 +20,5 @@
 
 
 def test_the_docstring_names_the_events_first() -> None:
-    head = (SOURCES / "routing" / "control.py").read_text().splitlines()[0]
+    head = (SOURCES / "policy" / "limiter.py").read_text().splitlines()[0]
     assert "scalelb/policy/events.py" in head
--- a/tests/test_class_order.py
+++ b/tests/test_class_order.py
@@ -10,9 +10,9 @@
 
 from scalelb.policy.actions import RejectRequest, SendAttempt
 from scalelb.policy.events import RequestArrived
+from scalelb.policy.retry_age import RetryAgeEstimator
 from scalelb.policy.settings import Idempotency, Objective, RequestClass
 from scalelb.program.config import ConfigError, read_settings
-from scalelb.routing.retry_age import RetryAge
 
 LOOKUP = RequestClass(latency_objective_ms=400.0, deadline_ms=1500.0, priority_weight=1.0)
 BOOKING = RequestClass(
@@ -30,50 +30,53 @@
 
 
 def test_a_retry_is_as_old_as_the_deadline_has_lost() -> None:
-    ages = RetryAge()
-    assert ages.of(arrival(1200.0), LOOKUP) == 0.0
-    assert ages.of(arrival(1000.0, retry=True), LOOKUP) == 500.0
-    assert ages.of(arrival(900.0, retry=True, held_ms=100.0), LOOKUP) == 500.0
+    ages = RetryAgeEstimator()
+    assert ages.age_ms(arrival(1200.0), LOOKUP) == 0.0
+    assert ages.age_ms(arrival(1000.0, retry=True), LOOKUP) == 500.0
+    assert ages.age_ms(arrival(900.0, retry=True, held_ms=100.0), LOOKUP) == 500.0
 
 
 def test_a_retry_with_the_whole_patience_left_has_the_middle_of_its_possible_ages() -> None:
     # It came after at least nothing and at most the 300 ms by which the deadline is longer.
-    ages = RetryAge()
-    ages.of(arrival(1200.0), LOOKUP)
-    assert ages.of(arrival(1199.0, retry=True), LOOKUP) == 150.0
+    ages = RetryAgeEstimator()
+    ages.age_ms(arrival(1200.0), LOOKUP)
+    assert ages.age_ms(arrival(1199.0, retry=True), LOOKUP) == 150.0
 
 
 def test_a_retry_before_any_first_attempt_has_no_known_age() -> None:
-    assert RetryAge().of(arrival(1000.0, retry=True), LOOKUP) == 0.0
+    assert RetryAgeEstimator().age_ms(arrival(1000.0, retry=True), LOOKUP) == 0.0
 
 
 def test_a_late_answer_of_some_worth_leaves_the_age_out() -> None:
-    ages, kind = RetryAge(), replace(LOOKUP, late_value_ratio=0.2)
-    ages.of(arrival(1200.0), kind)
-    assert ages.of(arrival(700.0, retry=True), kind) == 0.0
+    ages, kind = RetryAgeEstimator(), replace(LOOKUP, late_value_ratio=0.2)
+    ages.age_ms(arrival(1200.0), kind)
+    assert ages.age_ms(arrival(700.0, retry=True), kind) == 0.0
 
 
 def test_a_retry_that_would_be_late_is_refused_and_takes_no_units() -> None:
     # Seen on a quiet day: 1,081 of 8,700 units inside the quotas went to retries that were answered too late.
     drive = Driver(SITE)
     drive.ask(expires_in_ms=1200.0)
-    balance = drive.gateway.customers["ada"].balance
+    balance = drive.limiter.tenants.tenants["ada"].bucket.balance
     late = drive.ask(expires_in_ms=1000.0, is_retry=True)
     assert [a.request_id for a in of(RejectRequest, drive.did)] == [late]
-    assert drive.gateway.customers["ada"].balance == balance
+    assert drive.limiter.tenants.tenants["ada"].bucket.balance == balance
     drive.ask(expires_in_ms=1400.0, is_retry=True)
     assert len(of(SendAttempt, drive.did)) == 2
 
 
 def queue_after(drive: Driver, *asked: tuple[float, int]) -> list[float]:
     """Units of the requests that wait, in order, where (units, class) are asked for with no credit left."""
-    customer_of = drive.gateway.customers
+    customer_of = drive.limiter.tenants.tenants
     drive.ask(units=1.0, expires_in_ms=1500.0)
     customer = customer_of["ada"]
-    customer.balance, customer.block, customer.store, customer.window = -1.0, 0.0, 16.0, 0
+    customer.bucket.balance = -1.0
+    customer.bucket.leased = 0.0
+    customer.bucket.counter_balance = 16.0
+    customer.bucket.counter_window = 0
     for units, request_class in asked:
         drive.ask(units=units, class_index=request_class, expires_in_ms=1500.0)
-    return [request.units for request in customer.queue]
+    return [request.units for request in customer.queue.requests]
 
 
 def test_fewest_units_go_first_where_the_worst_class_counts() -> None:
@@ -140,5 +143,5 @@
     # Guards quotas that many limiters share: with fewest units first 85 of 96 units were used, not 96.
     drive = Driver(SITE)
     drive.ask(units=1.0, expires_in_ms=1500.0)
-    drive.gateway.customers["ada"].shared = True
+    drive.limiter.tenants.tenants["ada"].bucket.is_shared = True
     assert queue_after(drive, (3.0, 1), (1.0, 0), (2.0, 1)) == [3.0, 1.0, 2.0]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -8,9 +8,11 @@
 import pytest
 from driver import METERED, SAFE, SETTINGS, Driver, of, servers
 
-from scalelb import Gateway
-from scalelb.overload.concurrency_limit import ConcurrencyLimit
+from scalelb import Limiter
+from scalelb.policy import shared_counter
 from scalelb.policy.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
+from scalelb.policy.concurrency_limit import ConcurrencyLimit
+from scalelb.policy.endpoint_selection import Pool
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import (
     AttemptEnded,
@@ -21,9 +23,8 @@
     RequestCancelled,
     TimerFired,
 )
+from scalelb.policy.outlier_detection import TrackedEndpoint
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan
-from scalelb.routing import ledger
-from scalelb.routing.state import Server
 
 MAY_HAVE_RAN = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED]
 
@@ -34,11 +35,16 @@
 
 def test_settings_that_make_no_sense_are_refused() -> None:
     with pytest.raises(ValueError, match="settings"):
-        Gateway(replace(SETTINGS, request_classes=()), 1)
-    for name in ("cold_from", "cold_ms", "fall_multiple", "fall_ms"):
+        Limiter(replace(SETTINGS, request_classes=()), 1)
+    for name in (
+        "slow_start_initial_ratio",
+        "slow_start_ms",
+        "overload_multiple",
+        "overload_window_ms",
+    ):
         for value in (0.0, -1.0, float("nan"), float("inf")):
             with pytest.raises(ValueError, match=name):
-                Gateway(replace(SETTINGS, **{name: value}), 1)  # type: ignore[arg-type]
+                Limiter(replace(SETTINGS, **{name: value}), 1)  # type: ignore[arg-type]
 
 
 def test_a_request_meeting_credit_goes_at_once() -> None:
@@ -76,10 +82,10 @@
 def test_settlement_gives_back_what_was_charged_too_much() -> None:
     d = Driver(replace(SETTINGS, has_counter=False))
     d.ask(units=4.0)
-    c = d.gateway.customers["ada"]
-    before = c.balance
+    c = d.limiter.tenants.tenants["ada"]
+    before = c.bucket.balance
     d.end(d.sends()[0], true_units=1.0)
-    assert c.balance == before + 3.0
+    assert c.bucket.balance == before + 3.0
 
 
 def test_a_block_is_taken_ahead_off_the_path() -> None:
@@ -96,20 +102,20 @@
     d.ask()
     d.ask()
     answer(d, total=500.0)  # the others have used far more than the plan allows
-    c = d.gateway.customers["ada"]
-    assert c.block <= METERED.rate_per_s * 0.5 * SAFE.latency_objective_ms / 1000
+    c = d.limiter.tenants.tenants["ada"]
+    assert c.bucket.leased <= METERED.rate_per_s * 0.5 * SAFE.latency_objective_ms / 1000
     d.ask()
-    assert c.unreported < 0 or c.amount < 0  # the rest goes back
+    assert c.bucket.unreported < 0 or c.bucket.call_amount < 0  # the rest goes back
 
 
 def test_a_timed_out_call_grants_nothing_and_is_not_repeated() -> None:
     d = Driver()
     d.ask()
-    held = d.gateway.customers["ada"].balance
+    held = d.limiter.tenants.tenants["ada"].bucket.balance
     answer(d, 0.0, Outcome.TIMEOUT)
-    c = d.gateway.customers["ada"]
-    assert c.balance == held
-    assert c.unreported == 0.0
+    c = d.limiter.tenants.tenants["ada"]
+    assert c.bucket.balance == held
+    assert c.bucket.unreported == 0.0
     d.ask()
     assert len(d.calls()) == 1  # backs off
 
@@ -118,17 +124,21 @@
     # Seen in a trace of bad answers: taken for silence, the block asked for was lost and calls paused.
     d = Driver()
     d.ask("ada", units=4.0)
-    c = d.gateway.customers["ada"]
-    told, asked, held = d.calls()[-1].amount, c.asked, c.balance + c.block
+    c = d.limiter.tenants.tenants["ada"]
+    told, asked, held = d.calls()[-1].amount, c.bucket.requested, c.bucket.balance + c.bucket.leased
     answer(d, 0.0, Outcome.ERROR)
-    assert (c.total, d.gateway.backoff, d.gateway.crowd.next_call_at) == (told, 0.0, 0.0)
-    assert 0 < c.balance + c.block <= held + asked
-    before = c.store
-    c.seen = d.now
-    d.gateway._call(c, d.now, 2.0)
+    assert (c.bucket.counter_total, d.limiter.contention.backoff_ms, d.limiter.contention.next_call_at) == (
+        told,
+        0.0,
+        0.0,
+    )
+    assert 0 < c.bucket.balance + c.bucket.leased <= held + asked
+    before = c.bucket.counter_balance
+    c.last_request_at = d.now
+    d.limiter.leases.call(c, d.now, 2.0)
     answer(d, told + 2.0 + 5.0)  # others have used 5
-    assert c.total == told + 7.0
-    assert c.store <= before - 5.0
+    assert c.bucket.counter_total == told + 7.0
+    assert c.bucket.counter_balance <= before - 5.0
 
 
 def test_every_customer_falls_back_on_a_share_while_the_counter_is_down() -> None:
@@ -145,7 +155,7 @@
     for _ in range(40):
         d.wait(50.0)
         d.ask("bob")
-        for send in [s for s in d.sends() if s.request_id in d.gateway.requests]:
+        for send in [s for s in d.sends() if s.request_id in d.limiter.requests]:
             d.end(send, true_units=2.0)
         for call in d.calls()[2:]:
             d.give(CounterReplied(call.counter_key, Outcome.CONNECT_FAILED, 0.0, 1.0))
@@ -158,12 +168,12 @@
     d = Driver()
     d.ask()
     answer(d, total=16.0)
-    c = d.gateway.customers["ada"]
+    c = d.limiter.tenants.tenants["ada"]
     for _ in range(5):
         d.ask()
-    left = c.store
+    left = c.bucket.counter_balance
     answer(d, total=0.0)  # the counter forgot
-    assert c.store <= left + METERED.rate_per_s * 0.1
+    assert c.bucket.counter_balance <= left + METERED.rate_per_s * 0.1
 
 
 def test_idle_credit_is_handed_back() -> None:
@@ -236,7 +246,7 @@
     took: list[str] = []
     for n in range(200):
         d.ask(f"c{n}", plan_index=1)
-        while (send := d.sends()[-1]).request_id in d.gateway.requests:
+        while (send := d.sends()[-1]).request_id in d.limiter.requests:
             took.append(send.endpoint)
             bad = send.endpoint == "s0"
             d.end(send, Outcome.ERROR if bad else Outcome.OK, elapsed_ms=5.0 if bad else 100.0)
@@ -245,16 +255,16 @@
 
 
 def test_a_gateway_holds_less_than_one_request_a_server_when_all_are_slow() -> None:
-    # Seen with six gateways before 50 servers: one request at each server from each gateway was too much.
+    # Seen with six gateways before 50 servers: one request at each server from each limiter was too much.
     d = Driver(count=20)
     for n in range(300):
         d.ask(f"c{n}", plan_index=1)
         d.wait(50.0)
-        for send in [s for s in d.sends()[-3:] if (s.request_id, 0) in d.gateway.attempts]:
+        for send in [s for s in d.sends()[-3:] if (s.request_id, 0) in d.limiter.attempts]:
             d.end(send, elapsed_ms=900.0)
     for n in range(60):
         d.ask(f"d{n}", plan_index=1)
-    assert len(d.gateway.attempts) < 20
+    assert len(d.limiter.attempts) < 20
 
 
 def test_a_cold_server_is_spared() -> None:
@@ -264,7 +274,7 @@
     d.give(EndpointsListed((cold,), is_complete=False))
     for n in range(100):
         d.ask(f"c{n}", plan_index=1)
-        if d.sends()[-1].request_id in d.gateway.requests:
+        if d.sends()[-1].request_id in d.limiter.requests:
             d.end(d.sends()[-1])
         d.wait(20.0)
     took = [a.endpoint for a in d.sends()]
@@ -277,14 +287,14 @@
         d.ask(f"c{n}")
     for _ in range(70):
         d.wait(1000.0)
-        for send in [s for s in d.sends() if s.request_id in d.gateway.requests]:
+        for send in [s for s in d.sends() if s.request_id in d.limiter.requests]:
             d.end(send, true_units=2.0)
-        for call in [c for c in d.calls() if c.counter_key in d.gateway.calls]:
+        for call in [c for c in d.calls() if c.counter_key in d.limiter.leases.calls]:
             d.give(CounterReplied(call.counter_key, Outcome.OK, 0.0, 2.0))
-    assert not d.gateway.customers
-    assert not d.gateway.active
-    assert not d.gateway.requests
-    assert not d.gateway.attempts
+    assert not d.limiter.tenants.tenants
+    assert not d.limiter.scheduler.active
+    assert not d.limiter.requests
+    assert not d.limiter.attempts
 
 
 def test_events_about_the_unknown_are_ignored() -> None:
@@ -304,12 +314,12 @@
 
 
 def many_doors(doors: int = 200, **fields: object) -> Driver:
-    """A gateway among hundreds, before a large fleet; its customers come through many doors."""
+    """A limiter among hundreds, before a large fleet; its customers come through many doors."""
     return Driver(replace(SETTINGS, limiter_count=300, **fields), count=60)  # type: ignore[arg-type]
 
 
 def test_an_idle_gateway_arms_no_turn() -> None:
-    # Seen with 300 gateways before 60 servers: every gateway woke each 10 ms, and days were cut off.
+    # Seen with 300 gateways before 60 servers: every limiter woke each 10 ms, and days were cut off.
     d = many_doors()
     assert not d.timers
     d.ask(plan_index=1)
@@ -321,14 +331,14 @@
 
 
 def test_a_choice_weighs_a_few_servers_however_many_there_are() -> None:
-    class Counting(list[Server]):
+    class Counting(list[TrackedEndpoint]):
         seen = 0
 
         def __getitem__(self, place):  # type: ignore[no-untyped-def]
             Counting.seen += 1
             return super().__getitem__(place)
 
-        def __iter__(self) -> Iterator[Server]:
+        def __iter__(self) -> Iterator[TrackedEndpoint]:
             for s in super().__iter__():
                 Counting.seen += 1
                 yield s
@@ -338,8 +348,10 @@
         if cold:
             started = servers(500, started_at=d.now - 9000.0)
             d.give(EndpointsListed(started[:250], is_complete=False))
-        d.gateway.pools = [(Counting(some), sums) for some, sums in d.gateway.pools]
-        d.gateway.cold = Counting(d.gateway.cold)
+        d.limiter.selector.pools = [
+            Pool(Counting(pool.endpoints), pool.cumulative_capacity) for pool in d.limiter.selector.pools
+        ]
+        d.limiter.selector.slow_start.warming_up = Counting(d.limiter.selector.slow_start.warming_up)
         d.ask(plan_index=1)
         assert len(d.sends()) == 1
         assert 0 < Counting.seen <= 10
@@ -347,7 +359,7 @@
 
 
 def test_gateways_do_not_all_choose_the_largest_server() -> None:
-    # Seen at size: every gateway sent to the larger machines, as it had nothing out at any of them.
+    # Seen at size: every limiter sent to the larger machines, as it had nothing out at any of them.
     d = Driver(count=0)
     large = tuple(Endpoint(f"l{n}", EndpointState.SERVING, relative_capacity=2.0) for n in range(5))
     d.give(EndpointsListed((*servers(5), *large), is_complete=True))
@@ -386,7 +398,7 @@
         d = many_doors()
         for n in range(300):
             d.ask(f"c{n}", sharing_limiters=200)
-            if len(d.calls()) and d.calls()[-1].counter_key in d.gateway.calls:
+            if len(d.calls()) and d.calls()[-1].counter_key in d.limiter.leases.calls:
                 answer(d, 2.0, outcome)
             d.now += 2000.0
         return len(d.calls())
@@ -405,29 +417,29 @@
 def test_a_call_that_is_never_answered_is_given_up() -> None:
     d = Driver()
     d.ask()
-    assert d.gateway.customers["ada"].calling
+    assert d.limiter.tenants.tenants["ada"].bucket.has_call_in_flight
     d.wait(2500.0)
-    assert not d.gateway.customers["ada"].calling
+    assert not d.limiter.tenants.tenants["ada"].bucket.has_call_in_flight
 
 
 def test_late_answers_shut_the_door_and_good_ones_open_it() -> None:
-    # Seen at size: an overdriven fleet is more than any single gateway's limits can relieve.
+    # Seen at size: an overdriven fleet is more than any single limiter's limits can relieve.
     d = many_doors()
     for n in range(40):
         d.ask(f"c{n}", plan_index=1)
-        for send in [s for s in d.sends() if s.request_id in d.gateway.requests]:
+        for send in [s for s in d.sends() if s.request_id in d.limiter.requests]:
             d.end(send, elapsed_ms=800.0)
     before = len(d.sends())
     for n in range(40):
         d.ask(f"d{n}", plan_index=1)
     assert len(d.sends()) - before < 20
-    for send in [s for s in d.sends() if s.request_id in d.gateway.requests]:
+    for send in [s for s in d.sends() if s.request_id in d.limiter.requests]:
         d.end(send, elapsed_ms=50.0)
     for n in range(100):
         d.ask(f"e{n}", plan_index=1)
-        for send in [s for s in d.sends() if s.request_id in d.gateway.requests]:
+        for send in [s for s in d.sends() if s.request_id in d.limiter.requests]:
             d.end(send, elapsed_ms=50.0)
-    assert d.gateway.open == 1.0
+    assert d.limiter.shedder.admission_probability == 1.0
 
 
 def test_repeats_do_not_enlarge_the_blocks() -> None:
@@ -436,7 +448,7 @@
     for _ in range(20):
         d.ask(is_retry=True)
         d.ask(expires_in_ms=400.0)
-    assert d.gateway.customers["ada"].demand == 0.0
+    assert d.limiter.tenants.tenants["ada"].demand_per_s == 0.0
 
 
 def test_a_busy_customer_leases_at_the_turn() -> None:
@@ -456,9 +468,13 @@
     def tries(open_part: float) -> int:
         d = many_doors()
         for n in range(60):
-            d.gateway.open, d.gateway.retries, d.gateway.flight = 1.0, 5.0, ConcurrencyLimit(1)
+            d.limiter.shedder.admission_probability = 1.0
+            d.limiter.retries.budget.retries = 5.0
+            concurrency = ConcurrencyLimit(1)
+            d.limiter.sender.concurrency = concurrency
+            d.limiter.feedback.concurrency = concurrency
             d.ask(f"c{n}", plan_index=1)
-            d.gateway.open = open_part
+            d.limiter.shedder.admission_probability = open_part
             d.end(d.sends()[-1], Outcome.TIMEOUT, elapsed_ms=500.0)
         return len(d.sends())
 
@@ -483,7 +499,7 @@
     d = Driver(replace(SETTINGS, request_classes=(replace(SAFE, priority_weight=2.0), dear)))
     sent = [0, 0]
     for n in range(600):
-        d.gateway.open = 0.6
+        d.limiter.shedder.admission_probability = 0.6
         before = len(d.sends())
         d.ask(f"c{n}", plan_index=1, class_index=n % 2)
         sent[n % 2] += len(d.sends()) - before
@@ -499,19 +515,21 @@
     d.ask("ada", sharing_limiters=200)
     answer(d, 2.0)
     answer(d, 0.0)
-    customer = d.gateway.customers["ada"]
-    full = ledger.left(METERED, ledger.began("ada", customer.window), d.now, 0.0)
+    customer = d.limiter.tenants.tenants["ada"]
+    full = shared_counter.units_left(
+        METERED, shared_counter.window_start("ada", customer.bucket.counter_window), d.now, 0.0
+    )
     d.ask("ada", sharing_limiters=200)
     answer(d, full + 9.0)
-    while customer.calling:  # what it could not use goes back
+    while customer.bucket.has_call_in_flight:  # what it could not use goes back
         answer(d, full + 7.0)
-    assert customer.broke and not customer.queue
+    assert customer.bucket.was_empty and not customer.queue.requests
     d.wait(4000.0)  # by its own word alone there would be credit again
     before = len(d.sends())
     calls = len(d.calls())
-    d.gateway.crowd.sampling_rate = 1e-9
+    d.limiter.contention.sampling_rate = 1e-9
     d.ask("ada", sharing_limiters=200)
     assert (len(d.sends()), len(d.calls())) == (before, calls)
-    d.gateway.crowd.sampling_rate = 1.0
+    d.limiter.contention.sampling_rate = 1.0
     d.ask("ada", sharing_limiters=200)
-    assert len(d.sends()) == before and customer.calling
+    assert len(d.sends()) == before and customer.bucket.has_call_in_flight
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -89,7 +89,7 @@
 def test_a_decision_that_never_comes_ends_as_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the rule of one final answer against a fault of the decisions.
     back = Backside()
-    monkeypatch.setattr(back.core.gateway, "take", lambda now, events: [])
+    monkeypatch.setattr(back.core.limiter, "handle_all", lambda now, events: [])
     client, _ = ask(back, expires_ms=500.0)
     back.run(600.0)
     assert [verdict for verdict, _ in client.answers] == [Verdict.FAILED]
@@ -132,13 +132,13 @@
 ) -> None:
     back = Backside(replace(SITE, has_counter=False, settles_true_units=settled))
     ends: list[AttemptEnded] = []
-    take = back.core.gateway.take
+    take = back.core.limiter.handle_all
 
     def seen(now: float, events: list[Event]) -> list[Action]:
         ends.extend(event for event in events if isinstance(event, AttemptEnded))
         return take(now, events)
 
-    monkeypatch.setattr(back.core.gateway, "take", seen)
+    monkeypatch.setattr(back.core.limiter, "handle_all", seen)
     back.true_units, back.used_percent = told, 37.0
     ask(back, units=4.0)
     back.run(1000.0)
@@ -149,7 +149,7 @@
     back = Backside(replace(SITE, has_counter=False, settles_true_units=True))
     _, ticket = ask(back, units=1.0)
     back.run()
-    before = back.core.gateway.mean
+    before = back.core.limiter.estimates.units
     back.core.fetched(ticket, Outcome.ERROR, units=6.0, used_percent=90.0)
     back.core.turn()
-    assert back.core.gateway.mean == before
+    assert back.core.limiter.estimates.units == before
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -40,7 +40,7 @@
     stage.play(f"{then}\n release backend\n backend silent\n wait 3100")
     assert stage.loop.core.tally.get("connect failed", 0) == 0  # nothing is held against the backend
     assert not stage.loop.core.tickets
-    assert not stage.loop.core.gateway.requests
+    assert not stage.loop.core.limiter.requests
 
 
 def test_a_repeat_is_not_begun_after_its_window() -> None:
@@ -93,8 +93,8 @@
     stage = Stage(backends=1)
     stage.loop.pool.limits = replace(stage.loop.pool.limits, each=0)
     stage.play("client send {call(1)}")
-    [server] = stage.loop.core.gateway.servers.values()
-    assert (server.misses, server.down) == (0, 0.0)
+    [server] = stage.loop.core.limiter.selector.endpoints.values()
+    assert (server.connect_failures, server.ejected_until) == (0, 0.0)
 
 
 def test_an_unsafe_request_that_may_have_run_is_answered_at_once() -> None:
--- a/tests/test_evening.py
+++ b/tests/test_evening.py
@@ -68,7 +68,7 @@
 
 
 async def by_grpc(back: Backside, evening: list[Row]) -> list[bool]:
-    """All on one channel, as a gateway does."""
+    """All on one channel, as a limiter does."""
     front = GrpcFront(
         Authorization(back.core, KINDS, PLANS, lambda: True, print), "127.0.0.1:0", "", lambda *_, **__: None
     )
--- a/tests/test_failback.py
+++ b/tests/test_failback.py
@@ -13,21 +13,21 @@
 import pytest
 from driver import SETTINGS, Driver, of, servers
 
+from scalelb.policy import slow_start
 from scalelb.policy.actions import SendAttempt
 from scalelb.policy.endpoints import Endpoint
 from scalelb.policy.events import AttemptEnded, EndpointsListed, Outcome
-from scalelb.routing import control
 
 SITE = replace(SETTINGS, limiter_count=100, has_counter=False, max_attempts=6)
 COUNT, CARRIES, STEP = 10, 50.0, 20.0  # servers; units a second of a warm one; ms
-REQUESTS = 1.0  # a second at each gateway: half of what the warm servers can do
+REQUESTS = 1.0  # a second at each limiter: half of what the warm servers can do
 
 
 class Fleet:
     """Many gateways before a few servers that answer after 100 ms, whatever is sent."""
 
     def __init__(self, seed: int, gateways: int = SITE.limiter_count) -> None:
-        self.gateways = gateways
+        self.limiters = gateways
         self.chance, self.now, self.outcome = Random(seed), 1000.0, Outcome.OK
         self.listed = servers(COUNT)
         self.doors: list[Driver] = []
@@ -42,14 +42,14 @@
         self.run(15_000.0)
 
     def door(self, place: int) -> Driver:
-        site = replace(SITE, limiter_index=place, limiter_count=self.gateways)
+        site = replace(SITE, limiter_index=place, limiter_count=self.limiters)
         door = Driver(site, 0, self.now, self.chance.randrange(2**30))
         door.give(EndpointsListed(self.listed, is_complete=True))
         return door
 
     def restart_gateways(self, part: int) -> None:
-        """Every such gateway forgets all; what it had out goes on unseen."""
-        for place in range(0, self.gateways, part):
+        """Every such limiter forgets all; what it had out goes on unseen."""
+        for place in range(0, self.limiters, part):
             self.doors[place] = self.door(place)
             self.ends = deque(end for end in self.ends if end[1] != place)
 
@@ -91,9 +91,14 @@
             self.sent.append((self.now, action.endpoint, self.units[action.request_id]))
             cold = self.started > 0 and action.endpoint == "s0"
             outcome = self.outcome if cold else Outcome.OK
-            request = door.gateway.requests[action.request_id]
+            request = door.limiter.requests[action.request_id]
             ended = AttemptEnded(
-                action.request_id, request.sends - 1, action.endpoint, outcome, 100.0, outcome is Outcome.OK
+                action.request_id,
+                request.attempts_sent - 1,
+                action.endpoint,
+                outcome,
+                100.0,
+                outcome is Outcome.OK,
             )
             self.ends.append((self.now + 100.0, place, ended))
         door.did.clear()
@@ -183,7 +188,7 @@
     usual, fleet.requests = fleet.requests, 0.0
     fleet.start(alone=True)
     fleet.run(4000.0)
-    for place in range(fleet.gateways):
+    for place in range(fleet.limiters):
         fleet.ask(place)
     fleet.requests = usual
     fleet.run(2000.0)
@@ -230,8 +235,8 @@
 def test_the_check_of_the_sum_finds_gateways_that_each_take_the_budget_for_their_own(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Planted: each gateway keeps the whole budget, not its part of it.
-    monkeypatch.setattr(control, "KEEP", 20 * control.KEEP)
+    # Planted: each limiter keeps the whole budget, not its part of it.
+    monkeypatch.setattr(slow_start, "BUDGET_RATIO", 20 * slow_start.BUDGET_RATIO)
     fleet = Fleet(seed=21, gateways=20)
     all_others_gone(fleet)
     assert fleet.over() > 0.0
@@ -269,6 +274,6 @@
     d.ask(plan_index=1)
     [send] = d.sends()
     d.give(EndpointsListed(tuple(s for s in servers(2) if s.name != send.endpoint), is_complete=True))
-    work = d.gateway.work
+    work = d.limiter.selector.slow_start.work_units
     d.end(send, true_units=3.0)
-    assert d.gateway.work == work
+    assert d.limiter.selector.slow_start.work_units == work
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_door.py
@@ -16,8 +16,9 @@
 
 from scalelb.fairness import DoorSettings
 from scalelb.middleware import Host, LimiterMiddleware
+from scalelb.policy.housekeeping import VISITED_TENANTS
+from scalelb.policy.tenant_table import MAX_TENANTS
 from scalelb.program.config import ConfigError, read_door
-from scalelb.routing.control import HOT_MOST, VISITS
 from scalelb.routing.core import Verdict
 
 ONE = DoorSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
@@ -106,20 +107,20 @@
     first, ticket = ask(back, door=0, **keyed)
     back.run()
     assert back.core.door is not None and ticket.ident in back.core.door.held
-    before = back.core.gateway.customers["ad"].balance
+    before = back.core.limiter.tenants.tenants["ad"].bucket.balance
     second, _ = ask(back, door=through - 1, retry=True, **keyed)
     back.run()
-    spent = before - back.core.gateway.customers["ad"].balance
+    spent = before - back.core.limiter.tenants.tenants["ad"].bucket.balance
     assert spent == 0.0  # both wait: nothing is charged before it goes on
     door = back.core.door
     charged: list[float] = []
-    charge = back.core.gateway._charge
+    charge = back.core.limiter.sender._charge
 
     def counted(request: Any, now: float, whole: bool) -> None:
         charge(request, now, whole)
-        charged.append(request.charged if request.key else 0.0)
+        charged.append(request.charged_units if request.idempotency_key else 0.0)
 
-    back.core.gateway._charge = counted  # type: ignore
+    back.core.limiter.sender._charge = counted  # type: ignore
     back.run(3000.0)
     assert first.answers and second.answers and not door.held
     assert sum(charged) == (2.0 if through == 2 else 4.0)
@@ -142,11 +143,11 @@
         back.run()
     client, ticket = ask(back, units=3.0)
     back.run()
-    balance = back.core.gateway.customers["ad"].balance
+    balance = back.core.limiter.tenants.tenants["ad"].bucket.balance
     back.core.gone(ticket)
     back.run(20.0)
     assert not client.answers
-    assert back.core.gateway.customers["ad"].balance >= balance
+    assert back.core.limiter.tenants.tenants["ad"].bucket.balance >= balance
     assert not any(ident == str(ticket.ident) for ident, _ in back.fetched)
 
 
@@ -205,21 +206,21 @@
     for _ in range(6):  # ada uses all that she has
         d.ask(sharing_limiters=1)
         d.give(io_ended(d.sends()[-1]))
-    left = d.gateway.customers["ada"].balance
+    left = d.limiter.tenants.tenants["ada"].bucket.balance
     assert left <= 0.0
-    for number in range(HOT_MOST + 500):
+    for number in range(MAX_TENANTS + 500):
         ident = d.ask(f"c{number}", units=0.5, sharing_limiters=1)
         sent = [s for s in d.sends()[-1:] if s.request_id == ident]
         if sent:
             d.give(io_ended(sent[0]))
-    assert len(d.gateway.customers) <= HOT_MOST + 8
-    assert "ada" not in d.gateway.customers and d.gateway.knows("ada")
+    assert len(d.limiter.tenants.tenants) <= MAX_TENANTS + 8
+    assert "ada" not in d.limiter.tenants.tenants and d.limiter.tenants.knows("ada")
     d.ask("ada", sharing_limiters=1)
-    assert d.gateway.customers["ada"].balance < 2.0  # what the rate brought meanwhile, no burst
+    assert d.limiter.tenants.tenants["ada"].bucket.balance < 2.0  # what the rate brought meanwhile, no burst
     for send in d.sends()[-1:]:
         d.give(io_ended(send))
     d.wait(30_000.0)
-    assert not d.gateway.customers and not d.gateway.records.tables
+    assert not d.limiter.tenants.tenants and not d.limiter.tenants.records.tables
 
 
 def io_ended(send: Any) -> Any:
@@ -230,13 +231,13 @@
 
 def test_house_keeping_visits_so_many_in_a_turn() -> None:
     d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
-    for number in range(3 * VISITS):
+    for number in range(3 * VISITED_TENANTS):
         d.ask(f"c{number}", units=0.5, sharing_limiters=1)
     visited: list[int] = []
-    part = d.gateway._keep_house
-    d.gateway._keep_house = lambda now: (part(now), visited.append(len(d.gateway.unvisited)))[0]  # type: ignore
+    part = d.limiter._keep_house
+    d.limiter._keep_house = lambda now: (part(now), visited.append(len(d.limiter.housekeeper.unvisited)))[0]  # type: ignore
     d.wait(1100.0)
-    assert visited[:3] == [2 * VISITS, VISITS, 0]
+    assert visited[:3] == [2 * VISITED_TENANTS, VISITED_TENANTS, 0]
 
 
 # Settings
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -17,8 +17,8 @@
 from scalelb.lab.flock import Delays
 from scalelb.lab.schedule import Schedule, read_schedule
 from scalelb.lab.virtual import PLAN, Virtual, play
-from scalelb.routing.ledger import WINDOW_MS
-from scalelb.routing.state import Customer
+from scalelb.policy.shared_counter import WINDOW_MS
+from scalelb.policy.tenant import Tenant
 
 ROOT = Path(__file__).parent.parent
 FAULTS = ROOT / "bench" / "faults"
@@ -184,7 +184,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The planted break of the two tests above: what the others took is credited out of what ran over.
-    monkeypatch.setattr(Customer, "level", lambda c, at, others, blind: c.filled(at) - others - blind)
+    monkeypatch.setattr(Tenant, "level", lambda c, at, others, blind: c.filled(at) - others - blind)
     schedule = quiet(read_schedule(FAULTS / "kill.toml"))
     found, owed = beyond(Virtual(schedule, 3, 3, 5000.0), schedule)
     assert found > owed + MOST_UNITS
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -9,8 +9,8 @@
 from driver import METERED, SETTINGS, Driver
 from fleet import Fleet
 
+from scalelb.policy import outlier_detection
 from scalelb.policy.events import EndpointsListed, Outcome
-from scalelb.routing import health
 
 OPEN = replace(METERED, rate_per_s=0.0, burst=0.0)
 
@@ -41,33 +41,35 @@
 def test_one_silence_is_remembered_until_the_next_look() -> None:
     # Seen with 40 limiters: an answer in 5 s, marks that fade in 5 s and weigh a fifth; the bad were found
     # out by each of them, without end.
-    server = next(iter(Driver(count=1).gateway.servers.values()))
-    lasts = health.memory(90.0, 60)
-    health.judge(server, 0.0, Outcome.TIMEOUT, 1500.0, 170.0, lasts)
-    assert health.looks(server, 5500.0, 170.0, lasts, "") > 5 * 170.0
-    assert health.looks(server, 60_000.0, 170.0, lasts, "") < 1.2 * 170.0
+    server = next(iter(Driver(count=1).limiter.selector.endpoints.values()))
+    lasts = outlier_detection.fault_memory_ms(90.0, 60)
+    server.record_outcome(0.0, Outcome.TIMEOUT, 1500.0, 170.0, lasts)
+    assert server.perceived_latency_ms(5500.0, 170.0, lasts, "") > 5 * 170.0
+    assert server.perceived_latency_ms(60_000.0, 170.0, lasts, "") < 1.2 * 170.0
 
 
 def test_a_server_that_can_not_be_reached_is_tried_again_at_growing_intervals() -> None:
     d = Driver(count=1)
-    server = next(iter(d.gateway.servers.values()))
+    server = next(iter(d.limiter.selector.endpoints.values()))
     pauses = []
     for _ in range(8):
-        health.judge(server, d.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
-        pauses.append(server.down - d.now)
-    assert pauses[0] == health.DOWN_MS[0] and pauses[-1] == health.DOWN_MS[1]
+        server.record_outcome(d.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
+        pauses.append(server.ejected_until - d.now)
+    assert pauses[0] == outlier_detection.MIN_EJECTION_MS and pauses[-1] == outlier_detection.MAX_EJECTION_MS
     assert pauses == sorted(pauses)
-    health.judge(server, d.now, Outcome.OK, 100.0, 100.0, 5000.0)
-    assert server.down == 0.0
-    health.judge(server, d.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
-    d.give(EndpointsListed((replace(server.info, started_at=d.now),), is_complete=True))
-    assert server.down == 0.0 and server.latency == d.gateway.usual  # another process: nothing is known of it
+    server.record_outcome(d.now, Outcome.OK, 100.0, 100.0, 5000.0)
+    assert server.ejected_until == 0.0
+    server.record_outcome(d.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
+    d.give(EndpointsListed((replace(server.endpoint, started_at=d.now),), is_complete=True))
+    assert (
+        server.ejected_until == 0.0 and server.latency_ms == d.limiter.estimates.latency_ms
+    )  # another process: nothing is known of it
 
 
 def test_a_failed_connect_spends_no_further_attempt() -> None:
     # Nothing reached a server, so there is no jam that a further attempt could keep up.
     d = Driver(replace(SETTINGS, max_attempts=4), count=3)
-    d.gateway.retries = 0.0
+    d.limiter.retries.budget.retries = 0.0
     d.ask(plan_index=1)
     d.end(d.sends()[0], Outcome.CONNECT_FAILED)
     assert len(d.sends()) == 2
@@ -77,29 +79,29 @@
 
 def test_many_answers_keep_a_short_memory() -> None:
     # Guards small fleets, which pay nothing for what thin traffic needs.
-    assert health.memory(10.0, 12) == health.RECOVER_MS
-    assert health.memory(90.0, 60) > 2 * health.RECOVER_MS
+    assert outlier_detection.fault_memory_ms(10.0, 12) == outlier_detection.FAULT_MEMORY_MS
+    assert outlier_detection.fault_memory_ms(90.0, 60) > 2 * outlier_detection.FAULT_MEMORY_MS
 
 
 def test_a_new_connection_costs_what_the_settings_say_and_nothing_where_they_say_nothing() -> None:
     # Guards both ways: a server whose free connection was used up, closed or has rested too long is not taken
     # for one that has another, and a fleet without a price chooses as before.
-    server = next(iter(Driver(count=1).gateway.servers.values()))
+    server = next(iter(Driver(count=1).limiter.selector.endpoints.values()))
 
     def look(at: float, opening: float = 100.0) -> float:
-        return health.looks(server, at, 100.0, 5000.0, "", 1000.0, opening)
+        return server.perceived_latency_ms(at, 100.0, 5000.0, "", 1000.0, opening)
 
-    server.latency = 100.0
+    server.latency_ms = 100.0
     assert look(0.0) == 200.0 and look(0.0, opening=0.0) == 100.0
     for outcome, kept in ((Outcome.OK, True), (Outcome.RESET, False), (Outcome.TIMEOUT, False)):
-        health.renew(server, 100.0, 2.0)
-        health.judge(server, 10.0, outcome, 100.0, 100.0, 5000.0)
+        server.reset(100.0)
+        server.record_outcome(10.0, outcome, 100.0, 100.0, 5000.0)
         assert (look(20.0) == look(20.0, opening=0.0)) is kept
-    health.renew(server, 100.0, 2.0)
-    health.judge(server, 10.0, Outcome.REJECTED, 100.0, 100.0, 5000.0)
+    server.reset(100.0)
+    server.record_outcome(10.0, Outcome.REJECTED, 100.0, 100.0, 5000.0)
     assert look(1009.0) == look(1009.0, opening=0.0) and look(1011.0) > look(1011.0, opening=0.0)
-    health.sent(server, 20.0, 1000.0)
-    assert server.ready == 0 and look(21.0) > look(21.0, opening=0.0)
+    server.record_send(20.0, 1000.0)
+    assert server.idle_connections == 0 and look(21.0) > look(21.0, opening=0.0)
 
 
 @pytest.mark.parametrize("price", [0.0, 0.08])
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -15,33 +15,31 @@
 # fmt: off
 MAY_USE = {
     "fairness": {"fairness"},
-    "overload": {"overload"},
     "agreement": {"agreement"},
-    "policy": {"policy"},
-    "routing": {"fairness", "overload", "policy", "routing"},
+    "policy": {"fairness", "policy"},
+    "routing": {"fairness", "policy", "routing"},
     "protocol": {"protocol"},
     "transport": {"policy", "routing", "protocol", "transport"},
     "middleware": {"fairness", "policy", "routing", "protocol", "middleware"},
     "peers": {"peers"},
     "program": {
-        "agreement", "fairness", "overload", "peers", "policy", "routing", "protocol", "transport", "program",
+        "agreement", "fairness", "peers", "policy", "routing", "protocol", "transport", "program",
     },
     "lab": {
-        "agreement", "fairness", "overload", "peers", "policy", "routing", "protocol", "transport", "program",
+        "agreement", "fairness", "peers", "policy", "routing", "protocol", "transport", "program",
         "lab",
     },
     "__main__": {"lab"},
-    "wirehost": {"policy", "routing", "program", "wirehost"},
-    "__init__": {"policy", "routing"},
+    "wirehost": {"policy", "program", "wirehost"},
+    "__init__": {"policy"},
 }
 # fmt: on
 FOREIGN = {
     "fairness": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
-    "policy": {"twisted", "socket", "grpc", "httptools", "orjson"},
+    "policy": {"twisted", "socket", "grpc", "httptools", "orjson", "time"},
     "routing": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "protocol": {"twisted", "socket"},
     "agreement": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
-    "overload": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "peers": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
 }
 
@@ -63,7 +61,7 @@
     for name in imported(path):
         parts = name.split(".")
         if parts[0] == "scalelb":
-            assert len(parts) > 1 and parts[1] in MAY_USE[layer] | {"Gateway"}, name
+            assert len(parts) > 1 and parts[1] in MAY_USE[layer] | {"Limiter"}, name
         assert parts[0] not in FOREIGN.get(layer, set()), name
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -8,7 +8,7 @@
 from driver import METERED, SETTINGS
 from fleet import Fleet
 
-from scalelb.routing import ledger
+from scalelb.policy import shared_counter
 
 PLAN = replace(METERED, rate_per_s=3.0, burst=13.0)
 
@@ -66,9 +66,9 @@
 def long_silent(fleet: Fleet) -> None:
     """The counter has given no answer for seconds, and every door knows."""
     fleet.silent = True
-    for gateway in fleet.gateways:
-        while not gateway.crowd.silent:
-            gateway.crowd.on_failure(fleet.now)
+    for limiter in fleet.limiters:
+        while not limiter.contention.is_unavailable:
+            limiter.contention.on_failure(fleet.now)
 
 
 def test_no_class_waits_for_a_silent_counter() -> None:
@@ -101,9 +101,9 @@
     # Seen on join+mass, seed 11: clients came again at once, the counter bore one call in seven tries, and
     # the others went by what their door was told minutes ago: 64% of all units sent were beyond quotas.
     fleet = Fleet(40, plans=(PLAN,))
-    for gateway in fleet.gateways:
-        gateway.crowd.sampling_rate = 0.15
-        gateway.crowd.on_answer = lambda now, elapsed_ms: None  # type: ignore[method-assign]
+    for limiter in fleet.limiters:
+        limiter.contention.sampling_rate = 0.15
+        limiter.contention.on_answer = lambda now, elapsed_ms: None  # type: ignore[method-assign]
     for _ in range(6000):
         customer = fleet.random.randrange(60)
         door = (customer + fleet.random.randrange(30)) % 40
@@ -113,18 +113,23 @@
 
 
 def test_few_doors_keep_their_blocks() -> None:
-    assert not ledger.shared(replace(PLAN, burst=13.0), 3, SETTINGS)
-    assert ledger.shared(replace(PLAN, burst=13.0), 30, SETTINGS)
-    assert not ledger.shared(replace(PLAN, burst=13.0), 30, replace(SETTINGS, has_counter=False))
+    assert not shared_counter.is_kept_on_counter(replace(PLAN, burst=13.0), 3, SETTINGS)
+    assert shared_counter.is_kept_on_counter(replace(PLAN, burst=13.0), 30, SETTINGS)
+    assert not shared_counter.is_kept_on_counter(
+        replace(PLAN, burst=13.0), 30, replace(SETTINGS, has_counter=False)
+    )
 
 
 @pytest.mark.parametrize("now", [0.0, 29_999.0, 30_000.0, 1.8e12])
 def test_a_window_holds_its_own_time_and_customers_turn_apart(now: float) -> None:
     begins = set()
     for n in range(50):
-        number, began = ledger.window(f"c{n}", now)
-        assert began <= now < began + ledger.WINDOW_MS
-        assert ledger.window(f"c{n}", began + ledger.WINDOW_MS) == (number + 1, began + ledger.WINDOW_MS)
+        number, began = shared_counter.window_at(f"c{n}", now)
+        assert began <= now < began + shared_counter.WINDOW_MS
+        assert shared_counter.window_at(f"c{n}", began + shared_counter.WINDOW_MS) == (
+            number + 1,
+            began + shared_counter.WINDOW_MS,
+        )
         begins.add(began)
     assert len(begins) > 45
 
@@ -133,7 +138,7 @@
     # Seen with 40 limiters: at a name's first calls two doors each took off what the rate had brought since
     # the window began, up to 30 s of it, and the customer was refused for as long.
     fleet = Fleet(40, plans=(PLAN,))
-    while fleet.now - ledger.window("c0", fleet.now)[1] < ledger.WINDOW_MS / 2:
+    while fleet.now - shared_counter.window_at("c0", fleet.now)[1] < shared_counter.WINDOW_MS / 2:
         fleet.run(1000.0)
     for door in range(4):
         fleet.ask("c0", door, 1.0)
@@ -141,8 +146,10 @@
     fleet.ask("c0", 9, 6.0)
     fleet.run(100.0)
     assert fleet.seen["refused"] == 0 and fleet.seen["units inside"] == 10
-    number, began = ledger.window("c0", fleet.now)
-    store = ledger.left(PLAN, began, fleet.now, fleet.counted[ledger.name("c0", number)])
+    number, began = shared_counter.window_at("c0", fleet.now)
+    store = shared_counter.units_left(
+        PLAN, began, fleet.now, fleet.counted[shared_counter.counter_key("c0", number)]
+    )
     assert abs(store - fleet.store("c0", PLAN)) < PLAN.burst / 2
 
 
@@ -150,15 +157,15 @@
     # Guards the quota and the counter: a record keeps the window's number, not when it began; taken for the
     # beginning of time, the store was full for decades, and all of that was taken off.
     fleet = Fleet(40, plans=(PLAN,))
-    while fleet.now - ledger.window("c0", fleet.now)[1] > 1000.0:
+    while fleet.now - shared_counter.window_at("c0", fleet.now)[1] > 1000.0:
         fleet.run(500.0)
     for door in range(4):
         fleet.ask("c0", door, 3.0)
         fleet.run(100.0)
     fleet.run(500.0)
-    gateway = fleet.gateways[3]
-    gateway._part(gateway.customers["c0"], fleet.now)
-    assert "c0" not in gateway.customers and gateway.knows("c0")
+    limiter = fleet.limiters[3]
+    limiter.housekeeper.evict(limiter.tenants.tenants["c0"], fleet.now)
+    assert "c0" not in limiter.tenants.tenants and limiter.tenants.knows("c0")
     fleet.ask("c0", 3, 1.0)
     fleet.run(200.0)
     assert max(abs(total) for total in fleet.counted.values()) < 2 * PLAN.burst
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -124,16 +124,16 @@
         async def send(message: Any) -> None:
             sent.append(message)
 
-        while not any(c.queue for c in app.host.core.gateway.customers.values()):
+        while not any(c.queue.requests for c in app.host.core.limiter.tenants.tenants.values()):
             assert len(sent) < 40
             held = asyncio.ensure_future(app.app(dict(scope), receive, send))
             await asyncio.sleep(0.005)
-        [ada] = app.host.core.gateway.customers.values()
-        before = ada.balance
+        [ada] = app.host.core.limiter.tenants.tenants.values()
+        before = ada.bucket.balance
         leave.set()
         await held
         app.host.core.turn()
-        assert (ada.balance, len(ada.queue)) == (before, 0)
+        assert (ada.bucket.balance, len(ada.queue.requests)) == (before, 0)
         assert not app.host.core.tickets
 
     play(story)
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -336,13 +336,14 @@
     stage = Stage(backends=1)
     stage.play(STORIES[name])
     # The decisions' view is that of the sockets: attempts out, load, and which backends there are.
-    gateway, pool = stage.loop.core.gateway, stage.loop.pool
+    limiter, pool = stage.loop.core.limiter, stage.loop.pool
     retired = [w for w in stage.net.wires.get("backend", []) if not w.ended and not w.protocol.backend.listed]
-    assert len(gateway.attempts) == pool.fetching() + len(retired)
-    assert sum(c.out for c in gateway.customers.values()) == len(gateway.attempts)
-    assert all(abs(s.load - sum(a.load for a in gateway.attempts.values() if a.server is s)) < 1e-9
-               for s in gateway.servers.values())  # fmt: skip
-    assert gateway.servers.keys() <= pool.backends.keys()
+    assert len(limiter.attempts) == pool.fetching() + len(retired)
+    assert sum(c.attempts_in_flight for c in limiter.tenants.tenants.values()) == len(limiter.attempts)
+    for tracked in limiter.selector.endpoints.values():
+        load = sum(attempt.load for attempt in limiter.attempts.values() if attempt.endpoint is tracked)
+        assert abs(tracked.load_in_flight - load) < 1e-9
+    assert limiter.selector.endpoints.keys() <= pool.backends.keys()
 
 
 @pytest.mark.parametrize("said", ["Content-Length: 3\\n\\nnan", "Content-Length: x", "Content-Length: 0\\n"])
@@ -359,7 +360,7 @@
 def test_a_backend_is_gone_once_another_has_its_address() -> None:
     # Guards the cold rule: both ids would be sent a share, to the one machine that has just started.
     stage = Stage(backends=2)
-    loop, gateway = stage.loop, stage.loop.core.gateway
+    loop, limiter = stage.loop, stage.loop.core.limiter
     for at, full, entries, left in (
         (2, False, [{**entry(0, started=1e6), "instanceId": "s9"}], ["s1", "s9"]),
         (3, True, [{**entry(0, started=1e6 + 9), "instanceId": "s8"}, entry(0), entry(1)], ["s1", "s8"]),
@@ -368,7 +369,9 @@
     ):
         loop.told(at, full, entries)
         stage.wait(0)
-        assert sorted(gateway.servers) == sorted(loop.pool.backends) == (left or ["s1", "s6", "s7"])
+        assert (
+            sorted(limiter.selector.endpoints) == sorted(loop.pool.backends) == (left or ["s1", "s6", "s7"])
+        )
         assert sorted(loop.addresses) == sorted(loop.pool.backends)
 
 
@@ -395,7 +398,7 @@
 def test_tables_are_empty_again_after_customers_that_came_once() -> None:
     # Seen on the long day: 28 MB after a quarter, 36 MB at the end, with customers kept for 60 s.
     stage = Stage(backends=1)
-    gateway = stage.loop.core.gateway
+    limiter = stage.loop.core.limiter
     for number in range(50):
         swap = ("00000000000000ad", f"{number:016x}")
         stage.wire(f"client{number + 1}").protocol.dataReceived(
@@ -406,8 +409,13 @@
         stage.wait(1000)
         for wire in stage.net.wires.get("backend", []) + stage.net.wires.get("counter", []):
             wire.end()
-    assert not gateway.customers and not gateway.active and not gateway.requests and not gateway.attempts
-    assert not gateway.calls and not stage.loop.core.tickets and not stage.loop.core.timers[2:]
+    assert (
+        not limiter.tenants.tenants
+        and not limiter.scheduler.active
+        and not limiter.requests
+        and not limiter.attempts
+    )
+    assert not limiter.leases.calls and not stage.loop.core.tickets and not stage.loop.core.timers[2:]
     assert not stage.door.idents and not stage.door.sessions and stage.door.held == 0
     counter: Any = stage.loop.counter
     assert stage.loop.pool.total == 0 and not counter.open and not counter.out
@@ -605,7 +613,7 @@
     stage.play(f"client send {bad}\n client expect -ERR\n client closed")
     stage.play("client2 send *1\\n$4\\nPING\\n\n client2 expect +PONG")
     assert not stage.loop.core.tickets
-    assert not stage.loop.core.gateway.customers  # nothing of it was charged
+    assert not stage.loop.core.limiter.tenants.tenants  # nothing of it was charged
 
 
 SWAPS = {
@@ -635,7 +643,7 @@
     assert said.startswith("-ERR malformed: ") and "longer than its length" not in said
     assert stage.wire("client").ended
     assert not stage.loop.core.tickets
-    assert not stage.loop.core.gateway.customers
+    assert not stage.loop.core.limiter.tenants.tenants
     assert "backend" not in stage.net.wires
 
 
@@ -816,9 +824,9 @@
 def test_a_fault_of_the_decisions_is_logged_and_the_limiter_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the loop: a fault in one turn left the core without a timer, and nothing was answered any more.
     stage = Stage()
-    gateway = stage.loop.core.gateway
+    limiter = stage.loop.core.limiter
     with monkeypatch.context() as broken:
-        broken.setattr(gateway, "take", lambda now, events: 1 / 0)
+        broken.setattr(limiter, "handle_all", lambda now, events: 1 / 0)
         stage.play("client send {call(1, wait=500)}")
     assert [line["event"] for line in stage.logged if line["event"] == "fault"]
     stage.wait(600)
@@ -834,8 +842,8 @@
         stage.play("client send {call(1, units=6)}\n backend expect CALL.GET")
         stage.play(f"backend send *3\\n${length}\\n{'v' * length}")
         stage.play(f"backend send \\n{told}\n backend send $-1\\n")
-        [customer] = stage.loop.core.gateway.customers.values()
-        assert stage.loop.core.tally["served"] == 1 and not stage.loop.core.gateway.attempts
-        left.append(customer.balance)
+        [customer] = stage.loop.core.limiter.tenants.tenants.values()
+        assert stage.loop.core.tally["served"] == 1 and not stage.loop.core.limiter.attempts
+        left.append(customer.bucket.balance)
     assert left[1] - left[0] == pytest.approx(5.0)
     assert left[2] == left[0]
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -15,9 +15,9 @@
 
 from scalelb.fairness.records import Record
 from scalelb.policy.events import EndpointsListed
+from scalelb.policy.handover import leave_handover, take_handover
 from scalelb.policy.settings import Plan
 from scalelb.routing.bans import MOST, Bans, Word
-from scalelb.routing.handover import take_in, take_out
 from scalelb.transport.admin import CALLERS_MOST, AdminDoor
 
 FLOWS = {
@@ -166,7 +166,7 @@
     assert "backend1" not in stage.net.wires
     assert stage.program.say("s1", False) == 200
     stage.wait(0)
-    assert [s.info.name for s in stage.loop.core.gateway.cold] == ["s1"]
+    assert [s.endpoint.name for s in stage.loop.core.limiter.selector.slow_start.warming_up] == ["s1"]
     assert stage.program.stats()["pool_ejected"] == 0
 
 
@@ -268,11 +268,11 @@
         for _ in range(100):
             fleet.ask(f"c{random.randrange(3)}", 0, 1.0, sharing_limiters=1)
             fleet.run(20)
-        gateway = fleet.gateways[0]
-        fresh = Fleet(1, has_counter=False, max_units=1.0, plans=fleet.settings.plans).gateways[0]
-        account = orjson.loads(orjson.dumps(take_out(gateway, fleet.now)))
-        assert take_in(fresh, account, fleet.now)[1] == 0
-        fleet.gateways[0] = fresh
+        limiter = fleet.limiters[0]
+        fresh = Fleet(1, has_counter=False, max_units=1.0, plans=fleet.settings.plans).limiters[0]
+        account = orjson.loads(orjson.dumps(leave_handover(limiter, fleet.now)))
+        assert take_handover(fresh, account, fleet.now)[1] == 0
+        fleet.limiters[0] = fresh
         fleet.give(fresh, EndpointsListed(servers(60), is_complete=True))
     assert fleet.seen["units beyond"] == 0
     assert fleet.seen["units inside"] > 0.8 * 3 * (20 + 10 * 20)
@@ -291,13 +291,13 @@
 def test_an_account_that_can_not_be_is_left_out_entry_by_entry(spoil: Any) -> None:
     fleet = Fleet(2, has_counter=False)
     fleet.ask("c0", 0, 1.0, sharing_limiters=1)
-    account = orjson.loads(orjson.dumps(take_out(fleet.gateways[0], fleet.now)))
+    account = orjson.loads(orjson.dumps(leave_handover(fleet.limiters[0], fleet.now)))
     spoil(account)
-    gateway = fleet.gateways[1]
-    usual = gateway.usual
-    take_in(gateway, account, fleet.now)
-    assert gateway.usual == usual
-    assert "c0" not in gateway.records.left or account["customers"]["c0"][0] < 1e9
+    limiter = fleet.limiters[1]
+    usual = limiter.estimates.latency_ms
+    take_handover(limiter, account, fleet.now)
+    assert limiter.estimates.latency_ms == usual
+    assert "c0" not in limiter.tenants.records.left or account["customers"]["c0"][0] < 1e9
 
 
 def test_a_limiter_without_door_or_socket_reads_no_folder_and_writes_none() -> None:
@@ -333,24 +333,24 @@
 
 def test_who_comes_to_a_life_that_has_left_gets_no_share_and_none_is_forgotten_by_the_next() -> None:
     old, new = Fleet(2, has_counter=False), Fleet(2, has_counter=False)
-    gateway = old.gateways[0]
-    gateway.records.put("c9", Record(0.0, 0.0, 0.0, 0.0, -1, old.now, old.now + 5000.0), old.now)
-    account = orjson.loads(orjson.dumps(take_out(gateway, old.now)))
+    limiter = old.limiters[0]
+    limiter.tenants.records.put("c9", Record(0.0, 0.0, 0.0, 0.0, -1, old.now, old.now + 5000.0), old.now)
+    account = orjson.loads(orjson.dumps(leave_handover(limiter, old.now)))
     old.ask("stranger", 0, 1.0, sharing_limiters=1)
-    assert gateway.customers["stranger"].balance <= 0.0
-    take_in(new.gateways[0], account, new.now)
+    assert limiter.tenants.tenants["stranger"].bucket.balance <= 0.0
+    take_handover(new.limiters[0], account, new.now)
     new.ask("c9", 0, 1.0, sharing_limiters=1)
-    assert new.gateways[0].customers["c9"].balance <= 0.0
+    assert new.limiters[0].tenants.tenants["c9"].bucket.balance <= 0.0
 
 
 def test_keys_that_one_door_has_counted_move_on_too() -> None:
-    old, new = Fleet(1).gateways[0], Fleet(1).gateways[0]
+    old, new = Fleet(1).limiters[0], Fleet(1).limiters[0]
     now = 1_000_000.0
-    old.keys.count("c1", "k1", 1, now, 4000.0)
-    old.keys.count("c1", "k0", 1, now - 9000.0, 4000.0)
-    account = orjson.loads(orjson.dumps(take_out(old, now)))
+    old.charged_keys.record("c1", "k1", 1, now, 4000.0)
+    old.charged_keys.record("c1", "k0", 1, now - 9000.0, 4000.0)
+    account = orjson.loads(orjson.dumps(leave_handover(old, now)))
     account["keys"].append(["c1", 7, now, 1])
-    assert take_in(new, account, now)[1] == 1
-    assert new.keys.counted("c1", "k1", 2, now)
-    assert not new.keys.counted("c1", "k1", 1, now)
-    assert not new.keys.counted("c1", "k0", 2, now)
+    assert take_handover(new, account, now)[1] == 1
+    assert new.charged_keys.is_charged_elsewhere("c1", "k1", 2, now)
+    assert not new.charged_keys.is_charged_elsewhere("c1", "k1", 1, now)
+    assert not new.charged_keys.is_charged_elsewhere("c1", "k0", 2, now)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -13,11 +13,12 @@
 from hypothesis import strategies as st
 
 from scalelb.lab.probe_load import all_bad, one_bad
-from scalelb.overload import retry_budget, subsetting
-from scalelb.overload.concurrency_limit import MAX_LIMIT, MIN_LIMIT, ConcurrencyLimit
-from scalelb.overload.counter_contention import CounterContention
+from scalelb.policy import subsetting
 from scalelb.policy.actions import Action, FailRequest, RejectRequest, SendAttempt
+from scalelb.policy.concurrency_limit import MAX_LIMIT, MIN_LIMIT, ConcurrencyLimit
+from scalelb.policy.counter_contention import CounterContention
 from scalelb.policy.events import AttemptEnded, Outcome
+from scalelb.policy.retry_budget import RetryBudget
 from scalelb.policy.settings import Plan, RequestClass, Settings
 
 
@@ -44,7 +45,7 @@
 
 def test_the_retry_budget_over_all_limiters_is_small() -> None:
     for limiters in (1, 3, 12, 48, 200):
-        assert limiters * retry_budget.capacity(limiters) <= max(30.0, limiters)
+        assert limiters * RetryBudget(limiters).capacity <= max(30.0, limiters)
 
 
 @pytest.mark.parametrize("limiters", [3, 48, 200])
@@ -71,22 +72,22 @@
     one = CounterContention(30.0)
     for _ in range(3):
         one.on_failure(now)
-    assert (one.pause_ms, one.sampling_rate) == (200.0, 0.6)  # one cut for all that were late together
+    assert (one.backoff_ms, one.sampling_rate) == (200.0, 0.6)  # one cut for all that were late together
     one.on_answer(now, 2.0)
-    assert one.pause_ms == 0.0
+    assert one.backoff_ms == 0.0
 
 
 def test_repeats_are_earned_by_good_answers_alone() -> None:
     d = Driver(SETTINGS)
-    kept = d.gateway.retries
+    kept = d.limiter.retries.budget.retries
     for _ in range(20):
         d.ask(plan_index=1)
         d.end(d.sends()[-1], outcome=Outcome.ERROR)
-    assert d.gateway.retries <= kept
-    before = d.gateway.retries
+    assert d.limiter.retries.budget.retries <= kept
+    before = d.limiter.retries.budget.retries
     d.ask(plan_index=1)
     d.end(d.sends()[-1])
-    assert d.gateway.retries == pytest.approx(before + 0.2)
+    assert d.limiter.retries.budget.retries == pytest.approx(before + 0.2)
 
 
 def test_trials_of_a_bad_backend_grow_little_with_the_number_of_limiters() -> None:
@@ -97,16 +98,16 @@
 
 
 def test_where_the_own_subset_fails_all_others_are_drawn_from() -> None:
-    settings = Settings(**{**{f: getattr(SETTINGS, f) for f in SETTINGS.__slots__}, "gateways": 200})
+    settings = Settings(**{**{f: getattr(SETTINGS, f) for f in SETTINGS.__slots__}, "limiter_count": 200})
     d = Driver(settings, count=40)
-    d.gateway.gap = 1000.0
-    d.gateway._rank(d.now)
-    near, rest = (some for some, _ in d.gateway.pools)
+    d.limiter.estimates.answer_interval_ms = 1000.0
+    d.limiter.selector.update_pools(d.now)
+    near, rest = (pool.endpoints for pool in d.limiter.selector.pools)
     assert (len(near), len(rest)) == (subsetting.MIN_SUBSET_SIZE, 40)
     for server in near:
-        server.failing, server.marked = 0.9, d.now
+        server.failure_ratio, server.updated_at = 0.9, d.now
     d.ask(plan_index=1)
-    assert d.sends()[-1].endpoint not in {server.info.name for server in near}
+    assert d.sends()[-1].endpoint not in {server.endpoint.name for server in near}
 
 
 class Jam(Fleet):
@@ -115,31 +116,31 @@
 
     def __init__(self, count: int) -> None:
         aim = RequestClass(latency_objective_ms=1000.0, deadline_ms=3000.0)
-        super().__init__(count, backends=40, plans=(Plan(),), classes=(aim,), counter=False)
+        super().__init__(count, backends=40, plans=(Plan(),), request_classes=(aim,), has_counter=False)
         self.slow, self.free_at = 1.0, defaultdict[str, float](float)
         self.served: list[float] = []
 
-    def carry_out(self, gateway: Any, action: Action) -> None:
+    def carry_out(self, limiter: Any, action: Action) -> None:
         if isinstance(action, SendAttempt):
             begins = max(self.now, self.free_at[action.endpoint])
             self.free_at[action.endpoint] = begins + 100.0 * self.slow
             took, sends = (
                 self.free_at[action.endpoint] - self.now,
-                gateway.requests[action.request_id].sends - 1,
+                limiter.requests[action.request_id].attempts_sent - 1,
             )
             late = took > (wait := action.timeout_ms or 1000.0)
             outcome, after = (Outcome.TIMEOUT, wait) if late else (Outcome.OK, took)
             self.served += [] if late else [self.now + took]
             told = (action.request_id, sends, action.endpoint, outcome, after, not late)
-            self.later(gateway, after, AttemptEnded(*told))
+            self.later(limiter, after, AttemptEnded(*told))
         elif isinstance(action, RejectRequest | FailRequest):
             if self.random.random() < 0.7:
                 self.at(200.0, self.come)
         else:
-            super().carry_out(gateway, action)
+            super().carry_out(limiter, action)
 
     def come(self) -> None:
-        self.ask(f"c{self.random.randrange(1000)}", self.random.randrange(len(self.gateways)), 2.0)
+        self.ask(f"c{self.random.randrange(1000)}", self.random.randrange(len(self.limiters)), 2.0)
 
 
 def served_after_a_jam() -> float:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -375,12 +375,12 @@
     found.cut({found.names[3]}, set(found.names))
     found.run(found.now + 1000)
     member: Any = found.limiters[3]
-    gateway = member.core.gateway
+    limiter = member.core.limiter
     assert not member.peering.mesh.settled
     found.load([Arrival(found.now + 10, "x", 1, 0, 0, 1.0, 3)])
     found.run(found.now + 100)
-    assert [c.balance for c in gateway.customers.values()] and max(
-        c.balance for c in gateway.customers.values()
+    assert [c.bucket.balance for c in limiter.tenants.tenants.values()] and max(
+        c.bucket.balance for c in limiter.tenants.tenants.values()
     ) < 0.2  # fmt: skip
     found.run(found.now + 2500)
     assert member.peering.mesh.settled  # alone for long enough: it goes on by itself
@@ -432,26 +432,29 @@
     found.run(now + 4000)
     for member in found.limiters:
         other: Any = member
-        gateway = other.core.gateway
+        limiter = other.core.limiter
         if other is not liar:
             assert not other.bans.held
-            assert len(gateway.serving) == len(found.servers)
-            assert not any(server.down for server in gateway.servers.values())
-        assert max((c.balance for c in gateway.customers.values()), default=0.0) <= PLAN.burst
+            assert len([s for s in limiter.selector.endpoints.values() if s.is_warm()]) == len(found.servers)
+            assert not any(server.ejected_until for server in limiter.selector.endpoints.values())
+        assert max((c.bucket.balance for c in limiter.tenants.tenants.values()), default=0.0) <= PLAN.burst
 
 
 def bad_at(found: Flock, names: tuple[int, ...], server: str = "deck-0") -> None:
     """Some limiters have found a backend bad."""
     for number in names:
         member: Any = found.limiters[number]
-        record = member.core.gateway.servers[server]
-        record.failing, record.heard, record.goods, record.marked = 0.9, 5.0, 0, found.kernel.now
+        record = member.core.limiter.selector.endpoints[server]
+        record.failure_ratio, record.answer_weight = 0.9, 5.0
+        record.consecutive_successes, record.updated_at = 0, found.kernel.now
 
 
 def held(found: Flock, server: str = "deck-0") -> set[str]:
     """The limiters that send a backend nothing."""
     members: list[Any] = [m for m in found.limiters if not getattr(m, "dead", True)]
-    return {m.name for m in members if m.core.gateway.servers[server].down > found.kernel.now}
+    return {
+        m.name for m in members if m.core.limiter.selector.endpoints[server].ejected_until > found.kernel.now
+    }
 
 
 def test_what_two_find_bad_one_tries_for_all_and_the_next_when_it_dies() -> None:
@@ -467,7 +470,9 @@
     left = set(found.names) - held(found) - {trier}
     assert len(left) == 1
     member = found.member(left.pop())
-    member.core.gateway.servers["deck-0"].goods = 2  # two good answers in a row: all may send to it again
+    member.core.limiter.selector.endpoints[
+        "deck-0"
+    ].consecutive_successes = 2  # two good answers in a row: all may send to it again
     found.run(found.now + 4500.0)
     assert not held(found)
 
@@ -497,7 +502,7 @@
     new: Any = found.limiters[1]
     assert new is not member
     assert new.bans.out("deck-2")
-    assert "deck-2" not in new.core.gateway.servers
+    assert "deck-2" not in new.core.limiter.selector.endpoints
 
 
 def test_a_life_that_stood_still_finds_itself_closed_and_grants_nothing() -> None:
@@ -515,8 +520,12 @@
         other.peering.mesh.links.clear()
     found.run(found.now + 3500)
     assert old.peering.mesh.closed
-    assert all(c.plan.burst == 0.0 for c in old.core.gateway.customers.values() if not c.shared)
-    assert old.core.gateway.records.given_way_until == float("inf")
+    assert all(
+        c.bucket.plan.burst == 0.0
+        for c in old.core.limiter.tenants.tenants.values()
+        if not c.bucket.is_shared
+    )
+    assert old.core.limiter.tenants.records.given_way_until == float("inf")
 
 
 @settings(max_examples=40)
@@ -534,7 +543,7 @@
     found.kill(1, 10.0)
     found.run(found.now + 2500)
     new: Any = found.limiters[1]
-    assert f"{7:016x}" in new.core.gateway.records.left
+    assert f"{7:016x}" in new.core.limiter.tenants.records.left
     found.load([Arrival(found.now + 10, "x", 7, 0, 0, 1.0, 1)])
     found.run(found.now + 50)
-    assert new.core.gateway.customers[f"{7:016x}"].balance <= PLAN.burst
+    assert new.core.limiter.tenants.tenants[f"{7:016x}"].bucket.balance <= PLAN.burst
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -45,11 +45,11 @@
     d.give(CounterReplied(d.calls()[-1].counter_key, Outcome.OK, 500.0, 2.0))  # others used it up
     for _ in range(4):
         d.ask(units=3.0)
-    calls, ada = len(d.calls()), d.gateway.customers["ada"]
-    assert ada.queue
-    if ada.calling:
+    calls, ada = len(d.calls()), d.limiter.tenants.tenants["ada"]
+    assert ada.queue.requests
+    if ada.bucket.has_call_in_flight:
         d.give(CounterReplied(d.calls()[-1].counter_key, Outcome.OK, 502.0, 2.0))
-    ada.store, ada.store_at = 4.0, d.now  # it has filled since
+    ada.bucket.counter_balance, ada.bucket.counter_balance_at = 4.0, d.now  # it has filled since
     d.wait(300.0)
     assert len(d.calls()) > calls
 
@@ -57,7 +57,7 @@
 def test_what_can_not_go_in_time_is_refused_at_once() -> None:
     # Seen on a fleet day: requests behind a cap on attempts waited 1.6 s for their refusal.
     d = Driver(replace(SETTINGS, plans=(CAPPED,)))
-    d.gateway.usual = 300.0
+    d.limiter.estimates.latency_ms = 300.0
     asked = [d.ask() for _ in range(12)]
     assert len(d.sends()) == 1  # this door's half of the two
     assert 0 < len(refused(d)) < 11
@@ -93,12 +93,12 @@
             for _ in range(10):
                 d.wait(25.0)
                 for place, one in enumerate(d.calls()):
-                    if place not in answered and one.counter_key in d.gateway.calls:
+                    if place not in answered and one.counter_key in d.limiter.leases.calls:
                         answered.add(place)
                         counts[one.counter_key] = counts.get(one.counter_key, 0.0) + one.amount * (not silent)
                         outcome = Outcome.TIMEOUT if silent else Outcome.OK
                         d.give(CounterReplied(one.counter_key, outcome, counts[one.counter_key], 2.0))
-            for send in [s for s in d.sends() if s.request_id in d.gateway.requests]:
+            for send in [s for s in d.sends() if s.request_id in d.limiter.requests]:
                 d.end(send, true_units=1.0)
         return (len(d.sends()) - before) / asked
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -32,7 +32,7 @@
 
 
 class Witness:
-    """Watches one gateway: what is out, what is answered, what may have run."""
+    """Watches one limiter: what is out, what is answered, what may have run."""
 
     def __init__(self, index: int, now: float) -> None:
         self.driver = Driver(replace(SITE, limiter_index=index), count=5, now=now)
@@ -141,5 +141,5 @@
 
 
 def customer_of(door: Witness, request: int) -> str:
-    attempts = door.driver.gateway.attempts
-    return attempts[request, door.tries[request] - 1].request.customer.name
+    attempts = door.driver.limiter.attempts
+    return attempts[request, door.tries[request] - 1].request.tenant.name
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -13,15 +13,15 @@
 from scalelb.lab.model import START_MS
 from scalelb.peers import Life
 from scalelb.policy.endpoints import Endpoint, EndpointState
+from scalelb.policy.idempotency_keys import preferred_groups
 from scalelb.program.idempotency_records import HEARD_MOST, OWN_MOST, IdempotencyRecords
-from scalelb.routing.keys import homes
 
 SMALL = Case(requests=1500, per_s=300.0, kills_s=4.0)
 
 
 @given(st.text(min_size=1), st.sets(st.integers(0, 9), min_size=1), st.integers(0, 9))
 def test_a_group_that_goes_moves_its_own_keys_alone(key: str, groups: set[int], gone: int) -> None:
-    before, after = homes(key, groups), homes(key, groups - {gone})
+    before, after = preferred_groups(key, groups), preferred_groups(key, groups - {gone})
     assert set(before) == groups
     assert len(before) == len(groups)
     assert after == [one for one in before if one != gone]
@@ -129,13 +129,19 @@
 def test_what_is_told_and_what_is_kept_is_bounded() -> None:
     chain = Chain()
     attempts: dict[Any, Any] = {}
-    server = type("S", (), {"info": Endpoint("s", EndpointState.SERVING, zone=1)})()
-    attempts[1, 0] = type("A", (), {"server": server})()
-    gateway: Any = type("G", (), {"attempts": attempts})()
-    chain.tries.core.gateway = gateway
+    server = type("S", (), {"endpoint": Endpoint("s", EndpointState.SERVING, zone=1)})()
+    attempts[1, 0] = type("A", (), {"endpoint": server})()
+    limiter: Any = type("G", (), {"attempts": attempts})()
+    chain.tries.core.limiter = limiter
     customer = type("C", (), {"name": "c"})()
     for number in range(OWN_MOST + 100):
-        told: Any = {"kind": CLASS, "key": str(number), "customer": customer, "ident": 1, "sends": 1}
+        told: Any = {
+            "request_class": CLASS,
+            "idempotency_key": str(number),
+            "tenant": customer,
+            "request_id": 1,
+            "attempts_sent": 1,
+        }
         request: Any = type("R", (), told)()
         chain.tries.sends(request)
     assert len(chain.tries.own) == len(chain.written) == OWN_MOST
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from scalelb import Gateway, wirehost
+from scalelb import Limiter, wirehost
 from scalelb.policy.events import AttemptEnded
 
 OPTIONS: dict[str, Any] = {
@@ -138,7 +138,7 @@
         raise RuntimeError("no such thing")
 
     output = text.StringIO()
-    monkeypatch.setattr(Gateway, "handle", broken)
+    monkeypatch.setattr(Limiter, "handle", broken)
     with pytest.raises(wirehost.WireError, match="broke"):
         wirehost.serve(batch(1, *START), output)
     assert json.loads(output.getvalue().splitlines()[0])["BailOut"]["words"] == "RuntimeError: no such thing"
