--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -74,11 +74,14 @@
 @pytest.mark.parametrize("wire", SPOILT, ids=repr)
 def test_a_spoilt_reply_is_told_by_its_first_wrong_byte(wire: bytes) -> None:
     # Seen in a trace: `:5` was taken for an error and its dead connection used again; `*3 *3` was waited for.
-    with pytest.raises(MalformedError):
+    def read_whole() -> None:
         reply = resp.ReplyReader().read(wire)
         assert reply is not None, "still waiting"
         read_outcome(reply, probe=False)
 
+    with pytest.raises(MalformedError):
+        read_whole()
+
 
 @pytest.mark.parametrize(
     "text",
@@ -91,7 +94,8 @@
     assert reply is not None
     result = read_outcome(reply, probe=False)
     assert (result.outcome.value, result.report) == ("ok", {})
-    assert result.value is not None and bytes(result.value) == b"$3\r\none\r\n"
+    assert result.value is not None
+    assert bytes(result.value) == b"$3\r\none\r\n"
 
 
 USAGE_TEXTS = {
@@ -168,8 +172,10 @@
     wire = b"*3\r\n$3\r\none\r\n$%d\r\n%s\r\n$-1\r\n" % (len(text), text)
     result = answered(wire, places)
     assert result.outcome.value == "ok"
-    assert result.value is not None and bytes(result.value) == b"$3\r\none\r\n"
-    assert 0.0 <= result.usage.true_units < 1e9 and 0.0 <= (result.usage.used_percent or 0.0) < 1e9
+    assert result.value is not None
+    assert bytes(result.value) == b"$3\r\none\r\n"
+    assert 0.0 <= result.usage.true_units < 1e9
+    assert 0.0 <= (result.usage.used_percent or 0.0) < 1e9
 
 
 @pytest.mark.parametrize(
@@ -181,7 +187,8 @@
     assert reader.flow() is not None
     reader.more(b"v" * (resp.VALUE_MOST + 1))
     replies = [reader.read(piece) for piece in cut(b"\r\n" + told + b"$7\r\nqueue=2\r\n", [1, 5, 9])]
-    assert replies[:-1] == [None] * (len(replies) - 1) and replies[-1] is not None
+    assert replies[:-1] == [None] * (len(replies) - 1)
+    assert replies[-1] is not None
     result = read_outcome(replies[-1], probe=False)
     assert (result.usage, result.report) == (usage, {"queue": 2.0})
 
@@ -235,7 +242,8 @@
 def test_a_value_of_64_kib_comes_whole_a_longer_one_flows_and_none_beyond_4_mib() -> None:
     most = b"v" * resp.VALUE_MOST
     reply = resp.ReplyReader().read(b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(most), most))
-    assert reply is not None and reply.value is not None
+    assert reply is not None
+    assert reply.value is not None
     assert len(reply.value) == len(most) + 10
     with pytest.raises(MalformedError):
         resp.ReplyReader().read(b"*3\r\n$%d\r\n" % (resp.FLOW_MOST + 1))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -74,14 +74,17 @@
         read_experiment(path)
     assert str(path) in str(raised.value)
     said = CliRunner().invoke(lab, ["run", str(path), "--out", str(tmp_path / "out")])
-    assert said.exit_code == 1 and str(path) in said.output and not (tmp_path / "out").exists()
+    assert said.exit_code == 1
+    assert str(path) in said.output
+    assert not (tmp_path / "out").exists()
 
 
 def test_the_model_is_the_same_from_its_seed(tmp_path: Path) -> None:
     experiment = read_experiment(written(tmp_path))
     variant = experiment.variants[1]
     first, second = (model.play(experiment, variant).rows for _ in range(2))
-    assert first == second and len(first) > 60
+    assert first == second
+    assert len(first) > 60
     assert model.play(experiment, replace(variant, seed=9)).rows != first
     quiet = model.play(experiment, replace(experiment.variants[0], limiters=2)).rows
     times = [row.due for row in first if row.group == "others" and not row.number]
@@ -93,11 +96,13 @@
     said = CliRunner().invoke(lab, ["run", str(path), "--out", str(out)])
     assert said.exit_code == 0, said.output
     rows = read_rows(out / "door" / "rows.parquet")
-    assert {row.verdict for row in rows} <= {"served", "refused", ""} and len(rows) > 60
+    assert {row.verdict for row in rows} <= {"served", "refused", ""}
+    assert len(rows) > 60
     assert (out / "report.html").read_text().count("<svg") == 0  # charts are within, as data
     assert "data:image/svg+xml" in (out / "report.html").read_text()
     again = CliRunner().invoke(lab, ["report", str(out)])
-    assert again.exit_code == 0 and (out / "waits.svg").exists()
+    assert again.exit_code == 0
+    assert (out / "waits.svg").exists()
 
 
 def test_broken_rules_are_named() -> None:
@@ -118,7 +123,8 @@
 
 def test_a_recorded_evening_is_read_and_a_bad_line_is_named(tmp_path: Path) -> None:
     found = read_evening(EVENING, ["basic", "standard", "campus"], ["fetch-cards", "record-answer"], 3, 2.0)
-    assert len(found) == 1572 and found[0].at_ms <= found[-1].at_ms
+    assert len(found) == 1572
+    assert found[0].at_ms <= found[-1].at_ms
     bad = tmp_path / "evening.csv"
     bad.write_text("at_ms,customer,plan,class,units\n1,1,basic,fetch-cards,1\n2,zz,basic,fetch-cards,1\n")
     with pytest.raises(ValueError, match=r"evening.csv, line 3"):
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -63,7 +63,8 @@
     for name in imported(path):
         parts = name.split(".")
         if parts[0] == "scalelb":
-            assert len(parts) > 1 and parts[1] in MAY_USE[layer] | {"Gateway"}, name
+            assert len(parts) > 1, name
+            assert parts[1] in MAY_USE[layer] | {"Gateway"}, name
         assert parts[0] not in FOREIGN.get(layer, set()), name
 
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -45,7 +45,8 @@
     # Seen at a release of 40 limiters: each asked every 100 ms, the director answered 503 for 25 s, and all
     # kept on sending to 27 servers that were gone.
     told, calls = release(limiters, calls_per_s=15.0)
-    assert min(told) >= 0 and max(told) < 15_000.0
+    assert min(told) >= 0
+    assert max(told) < 15_000.0
     assert sorted(told)[limiters // 2] < 5000.0
     assert calls < 6 * limiters
 
