--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -1,8 +1,8 @@
 """What limiters store and send to each other, written and read by the present code.
 
-The files in `tests/data/b1c877a` were written by this module with the code of commit b1c877a on PYTHONPATH:
-`python tests/stored_formats.py FOLDER`.  `tests/test_stored_formats.py` compares them with the present code,
-which it names through this module only.
+The files in `tests/data/b1c877a` were written by the code of commit b1c877a, through this module as it
+stands in commit c7a90a0: `python tests/stored_formats.py FOLDER`.  `tests/test_stored_formats.py` compares
+them with the present code, which it names through this module only.
 """
 
 from __future__ import annotations
@@ -27,14 +27,16 @@
 from scalelb.fairness.records import Record, Records
 from scalelb.peers import Mesh, MeshSettings
 from scalelb.peers.chain import TOMB_MS
+from scalelb.policy.endpoints import Endpoint, EndpointState
+from scalelb.policy.events import CounterReplied, EndpointsListed, Outcome
+from scalelb.policy.handover import leave_handover, take_handover
+from scalelb.policy.limiter import Limiter
+from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan
 from scalelb.program.peering import Peering, Whose
 from scalelb.program.policy_register import PolicyRegister
 from scalelb.program.succession import Succession
-from scalelb.routing import interface as io
 from scalelb.routing.bans import Bans, Word
-from scalelb.routing.control import Gateway
 from scalelb.routing.core import Core
-from scalelb.routing.handover import take_in, take_out
 from scalelb.transport.peerlink import PeerLinks
 
 DATA = Path(__file__).parent / "data" / "b1c877a"
@@ -88,23 +90,23 @@
 
 # The account inside `left-N`
 
-KEYED_CLASS = replace(SAFE, effect=io.Effect.KEYED, window_ms=5000.0)
+KEYED_CLASS = replace(SAFE, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window_ms=5000.0)
 HANDOVER_SETTINGS = replace(
     SETTINGS,
-    classes=(SAFE, UNSAFE, KEYED_CLASS),
+    request_classes=(SAFE, UNSAFE, KEYED_CLASS),
     plans=(
-        io.Plan(rate=4.0, burst=16.0),
-        io.Plan(),
-        io.Plan(rate=2.0, burst=3.0),  # two limiters keep one bucket for it, on the counter
-        io.Plan(rate=0.05, burst=16.0),  # is not full again for minutes
+        Plan(rate_per_s=4.0, burst=16.0),
+        Plan(),
+        Plan(rate_per_s=2.0, burst=3.0),  # two limiters keep one bucket for it, on the counter
+        Plan(rate_per_s=0.05, burst=16.0),  # is not full again for minutes
     ),
 )
 
 
 def list_four_endpoints(driver: Driver) -> None:
     """Three that are warm, and one that has just started."""
-    warm = servers(4, started_ms=NOW_MS - 3_600_000.0)[:3]
-    driver.give(io.ServersListed((*warm, servers(4, started_ms=NOW_MS - 4000.0)[3]), full=True))
+    warm = servers(4, started_at=NOW_MS - 3_600_000.0)[:3]
+    driver.give(EndpointsListed((*warm, servers(4, started_at=NOW_MS - 4000.0)[3]), is_complete=True))
 
 
 def leaving_limiter() -> Driver:
@@ -117,33 +119,35 @@
 
     def answer_all() -> None:
         nonlocal answered_calls
-        while pending := [s for s in enumerate(driver.sends()) if (s[0], s[1].request) not in answered_sends]:
+        while pending := [
+            s for s in enumerate(driver.sends()) if (s[0], s[1].request_id) not in answered_sends
+        ]:
             place, send = pending[0]
-            answered_sends.add((place, send.request))
-            if send.server == "s2":
-                driver.end(send, io.Outcome.ERROR, elapsed_ms=20.0, final=True)
+            answered_sends.add((place, send.request_id))
+            if send.endpoint == "s2":
+                driver.end(send, Outcome.ERROR, elapsed_ms=20.0, request_finished=True)
             else:
                 driver.end(send, elapsed_ms=80.0, true_units=2.5)
         for call in driver.calls()[answered_calls:]:
-            driver.give(io.CounterReplied(call.name, io.Outcome.OK, max(0.0, call.amount), 3.0))
+            driver.give(CounterReplied(call.counter_key, Outcome.OK, max(0.0, call.amount), 3.0))
         answered_calls = len(driver.calls())
 
-    driver.ask("forgotten", units=4.0, plan=3)
+    driver.ask("forgotten", units=4.0, plan_index=3)
     for _ in range(240):
         answer_all()
         driver.wait(100.0)
     for round_number in range(60):
         driver.ask("ada", units=2.0)
-        driver.ask("grace", units=3.0, request_class=2, key=f"swap-{round_number}")
-        driver.ask("shared", units=1.0, plan=2)
-        driver.ask("unmetered", plan=1)
-        driver.ask("slow", units=1.0, plan=3)
+        driver.ask("grace", units=3.0, class_index=2, idempotency_key=f"swap-{round_number}")
+        driver.ask("shared", units=1.0, plan_index=2)
+        driver.ask("unmetered", plan_index=1)
+        driver.ask("slow", units=1.0, plan_index=3)
         answer_all()
         driver.wait(100.0)
     driver.ask("ada", units=2.0)
-    driver.ask("grace", units=4.0, request_class=2, key="swap-60")
-    driver.ask("shared", units=2.0, plan=2)
-    driver.end(driver.sends()[-1], io.Outcome.CONNECT_FAILED, elapsed_ms=1.0)
+    driver.ask("grace", units=4.0, class_index=2, idempotency_key="swap-60")
+    driver.ask("shared", units=2.0, plan_index=2)
+    driver.end(driver.sends()[-1], Outcome.CONNECT_FAILED, elapsed_ms=1.0)
     driver.ask("late", units=4.0)
     return driver
 
@@ -151,46 +155,46 @@
 def write_account() -> dict[str, Any]:
     """What the leaving limiter leaves."""
     driver = leaving_limiter()
-    return take_out(driver.gateway, driver.now)
+    return leave_handover(driver.limiter, driver.now)
 
 
-def read_account(account: dict[str, Any]) -> tuple[Gateway, tuple[int, int]]:
+def read_account(account: dict[str, Any]) -> tuple[Limiter, tuple[int, int]]:
     """The successor, which has the same endpoints, and how many entries it took and could not read."""
     successor = Driver(HANDOVER_SETTINGS, now=NOW_MS)
     list_four_endpoints(successor)
-    return successor.gateway, take_in(successor.gateway, account, NOW_MS)
+    return successor.limiter, take_handover(successor.limiter, account, NOW_MS)
 
 
-def rewrite_account(gateway: Gateway) -> dict[str, Any]:
-    """The account from what was read.  `take_out` leaves out tenants that have not come yet."""
-    tenants = {name: list(record) for name, record in gateway.records.left.items()}
-    without_share_until = gateway.records.given_way_until
-    account = take_out(gateway, NOW_MS)
+def rewrite_account(limiter: Limiter) -> dict[str, Any]:
+    """The account from what was read.  `leave_handover` leaves out tenants that have not come yet."""
+    tenants = {name: list(record) for name, record in limiter.tenants.records.left.items()}
+    without_share_until = limiter.tenants.records.given_way_until
+    account = leave_handover(limiter, NOW_MS)
     return account | {"given_way_until": without_share_until, "customers": tenants}
 
 
-def read_endpoint(gateway: Gateway, name: str) -> dict[str, float]:
+def read_endpoint(limiter: Limiter, name: str) -> dict[str, float]:
     """What a successor knows of an endpoint."""
-    server = gateway.servers[name]
+    server = limiter.selector.endpoints[name]
     return {
-        "latency_ms": server.latency,
-        "failing": server.failing,
-        "limit": server.limit,
-        "judged_at": server.marked,
-        "answers": server.heard,
-        "failed_connects": server.misses,
-        "left_out_until": server.down,
+        "latency_ms": server.latency_ms,
+        "failing": server.failure_ratio,
+        "limit": server.concurrency_limit,
+        "judged_at": server.updated_at,
+        "answers": server.answer_weight,
+        "failed_connects": server.connect_failures,
+        "left_out_until": server.ejected_until,
     }
 
 
-def read_tenant(gateway: Gateway, name: str) -> Record | None:
+def read_tenant(limiter: Limiter, name: str) -> Record | None:
     """What a successor is given of a tenant that comes now."""
-    return gateway.records.take(name, NOW_MS)
+    return limiter.tenants.records.take(name, NOW_MS)
 
 
-def read_key(gateway: Gateway, tenant: str, key: str) -> tuple[float, int]:
+def read_key(limiter: Limiter, tenant: str, key: str) -> tuple[float, int]:
     """Until when an idempotency key counts, and at which listeners."""
-    return gateway.keys.known[tenant, key]
+    return limiter.charged_keys.charged[tenant, key]
 
 
 # Compact records of tenants
@@ -363,9 +367,14 @@
 # Frames between limiters
 
 MEMBERS = ("n0", "n1", "n2")
-ZONE_CLASS = replace(SAFE, effect=io.Effect.KEYED, group=io.Group.ZONE, window_ms=20_000.0)
+ZONE_CLASS = replace(
+    SAFE,
+    idempotency=Idempotency.IDEMPOTENCY_KEY,
+    deduplication_scope=DeduplicationScope.ZONE,
+    idempotency_window_ms=20_000.0,
+)
 PEER_SETTINGS = replace(
-    SETTINGS, gateways=3, classes=(SAFE, ZONE_CLASS), plans=(io.Plan(rate=4.0, burst=16.0),)
+    SETTINGS, limiter_count=3, request_classes=(SAFE, ZONE_CLASS), plans=(Plan(rate_per_s=4.0, burst=16.0),)
 )
 FRAME_BEGINS = b"*2\r\n$5\r\nPEERS\r\n"
 
@@ -454,7 +463,7 @@
 
     def read_accounts(self) -> dict[str, Record]:
         """What this limiter's former lives have left of tenants."""
-        return self.core.gateway.records.left
+        return self.core.limiter.tenants.records.left
 
     def read_digest(self) -> str:
         """What is held, as the log tells it: operators compare it between limiters."""
@@ -468,14 +477,14 @@
 
     def list_endpoints(self, *names: str) -> None:
         started = NOW_MS - 3_600_000.0
-        infos = [io.ServerInfo(n, io.State.SERVING, zone=2, cell=5, started_ms=started) for n in names]
+        infos = [Endpoint(n, EndpointState.SERVING, zone=2, cell=5, started_at=started) for n in names]
         self.core.listed(self.bans.told(infos, True), True)
         self.core.turn()
 
     def overridden(self, some: list[str]) -> None:
         self.core.listed(self.bans.entries(some), False)
 
-    def request(self, tenant: str, outcome: io.Outcome, kind: int = 0, key: str = "") -> None:
+    def request(self, tenant: str, outcome: Outcome, kind: int = 0, key: str = "") -> None:
         """A request of two units, each of whose attempts ends like this."""
         caller: Any = self
         self.core.arrive(
@@ -495,7 +504,7 @@
     def drop(self, ticket: Any) -> None: ...
 
     def count(self, name: int, amount: float, keep_ms: float) -> None:
-        self.core.counted(name, io.Outcome.OK, max(0.0, amount), 3.0)
+        self.core.counted(name, Outcome.OK, max(0.0, amount), 3.0)
 
     def probe(self, server: str) -> None: ...
 
@@ -537,13 +546,13 @@
     limiter.deliver("n1", news("n1", 1, 0, ["!beat", 1.0], ["b:" + ENDPOINT, [0]]))
     limiter.deliver("n1", news("n2", 1, 0, ["!beat", 1.0]))
     limiter.run(1000.0)  # it settles, as its second life
-    limiter.request("ada", io.Outcome.ERROR)
-    limiter.request("grace", io.Outcome.OK, kind=1, key="swap-1")
-    limiter.request("ada", io.Outcome.ERROR)
+    limiter.request("ada", Outcome.ERROR)
+    limiter.request("grace", Outcome.OK, kind=1, key="swap-1")
+    limiter.request("ada", Outcome.ERROR)
     limiter.run(1100.0)
     limiter.deliver("n1", have(["n1", 1, 77, 2, 0]))  # n2 alone is silent
-    limiter.request("ada", io.Outcome.OK)
-    limiter.request("grace", io.Outcome.OK)
+    limiter.request("ada", Outcome.OK)
+    limiter.request("grace", Outcome.OK)
     limiter.run(1000.0)
     limiter.list_endpoints(ENDPOINT, "s0", "s1", "s3")
     limiter.bans.say("s1", True, limiter.clock())
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -131,17 +131,17 @@
 def test_handover_account_is_taken_over_and_written_back() -> None:
     account = orjson.loads(stored("left-3"))
     del account["form"]
-    gateway, (taken, faulty) = read_account(account)
+    limiter, (taken, faulty) = read_account(account)
     assert (taken, faulty) == (1 + 5 + 4 + 8, 0)  # figures, tenants, endpoints, idempotency keys
-    rewritten = rewrite_account(gateway)
+    rewritten = rewrite_account(limiter)
     assert orjson.dumps({"form": 1, **rewritten}) == stored("left-3")
     # Literal values: a field that changes places with another one would be written back as it was read.
     assert rewritten["given_way_until"] == 1_700_000_320_000.0
     assert rewritten["figures"] == FIGURES
-    assert read_tenant(gateway, "grace") == GRACE
-    assert read_tenant(gateway, "shared") == SHARED
-    assert read_endpoint(gateway, "s0") == UNREACHABLE
-    assert read_key(gateway, "grace", "swap-10") == (1_700_000_000_590.0, 1)
+    assert read_tenant(limiter, "grace") == GRACE
+    assert read_tenant(limiter, "shared") == SHARED
+    assert read_endpoint(limiter, "s0") == UNREACHABLE
+    assert read_key(limiter, "grace", "swap-10") == (1_700_000_000_590.0, 1)
 
 
 def test_compact_records_are_read_and_written_back() -> None:
