--- a/scalelb/fairness/door.py
+++ b/scalelb/admission_queue/admission_queue.py
@@ -13,11 +13,11 @@
 from math import inf
 from typing import Any, NamedTuple
 
-from scalelb.fairness.limit import GradientLimit
-from scalelb.fairness.meter import Mean, Meter
-from scalelb.fairness.promises import Ledger
-from scalelb.fairness.queue import SLACK, Entry, FairQueue
-from scalelb.fairness.settings import DoorSettings, FlowBy
+from scalelb.admission_queue.fair_queue import SLACK, FairQueue, QueueEntry
+from scalelb.admission_queue.gradient_limit import GradientLimit
+from scalelb.admission_queue.rate_meter import DecayingMean, RateMeter
+from scalelb.admission_queue.retry_after_reservations import RetryAfterReservations
+from scalelb.admission_queue.settings import AdmissionQueueSettings, FlowKey
 
 STRANGERS = "\0strangers"  # the flow of all that were not seen lately; no customer is named so
 CLAIMED = -1e9  # the rank of what comes back as promised: before all others of its flow
@@ -27,15 +27,15 @@
 SPARSE = 2.0  # times the limit that may be out where a flow asks that had less than its share
 
 
-class Step(Enum):
+class QueueDecision(Enum):
     """What becomes of a request that arrives."""
 
-    PASS = "pass"  # hand it to the decisions now
-    HOLD = "hold"  # it waits here
-    REFUSE = "refuse"  # answer it now
+    FORWARD = "pass"  # hand it to the decisions now
+    QUEUE = "hold"  # it waits here
+    REJECT = "refuse"  # answer it now
 
 
-class Ask(NamedTuple):
+class AdmissionRequest(NamedTuple):
     """One request.  `latest`: when it is to be sent at the latest, to be in time."""
 
     ident: int
@@ -50,7 +50,7 @@
     free: bool = False  # it takes nothing from the quota: another door has counted it
 
 
-class Credit(NamedTuple):
+class QuotaBalance(NamedTuple):
     """A customer's quota as the decisions see it here: units on hand less what waits, units a second."""
 
     hand: float
@@ -58,52 +58,54 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class QueuedRequest:
     """A request that waits at the door, or behind it."""
 
-    ask: Ask
+    ask: AdmissionRequest
     since: float
     flow: str
     item: Any = None
-    entry: Entry[Held] | None = None
+    entry: QueueEntry[QueuedRequest] | None = None
     sent: bool = False
 
 
-class Outcome(NamedTuple):
+class AdmissionResult(NamedTuple):
     """What `arrive` decided; the advice in milliseconds, with a refusal."""
 
-    step: Step
+    step: QueueDecision
     retry_after_ms: float = 0.0
-    displaced: Held | None = None  # it held this one's place, and is to be refused in its stead
+    displaced: QueuedRequest | None = None  # it held this one's place, and is to be refused in its stead
 
 
-class FairDoor:
+class AdmissionQueue:
     """One limiter's door."""
 
-    def __init__(self, settings: DoorSettings, most_retry_after_ms: float = inf) -> None:
+    def __init__(self, settings: AdmissionQueueSettings, most_retry_after_ms: float = inf) -> None:
         self.settings, self.most_retry_after_ms = settings, most_retry_after_ms or inf
-        self.queue: FairQueue[Held] = FairQueue()
-        self.ledger = Ledger(settings.promises_most, settings.early_ms, settings.grace_ms)
+        self.queue: FairQueue[QueuedRequest] = FairQueue()
+        self.ledger = RetryAfterReservations(settings.promises_most, settings.early_ms, settings.grace_ms)
         self.limit = GradientLimit(
             settings.start_requests, settings.least_requests, settings.most_requests, settings.tolerance
         )
-        self.held: dict[int, Held] = {}  # at the door
-        self.inside: dict[int, Held] = {}  # passed on, not finished
+        self.held: dict[int, QueuedRequest] = {}  # at the door
+        self.inside: dict[int, QueuedRequest] = {}  # passed on, not finished
         self.waiting: dict[str, int] = {}  # by flow: passed on, not sent
         self.latest: list[tuple[float, int]] = []  # a heap over `held`
         self.lent: list[float] = []  # a heap: when admitted requests count as back
         self.out = 0  # requests sent and not finished
         self.latency_ms = 0.0
         self.now = -inf
-        self.flow_rates: dict[str, Meter] = {}  # units passed on, by flow
-        self.all_rates: Meter | None = None
-        self.units = Mean(RATE_MS)  # of a request
-        self.capacity = Mean(RATE_MS)  # units a second that the fleet can do for us
+        self.flow_rates: dict[str, RateMeter] = {}  # units passed on, by flow
+        self.all_rates: RateMeter | None = None
+        self.units = DecayingMean(RATE_MS)  # of a request
+        self.capacity = DecayingMean(RATE_MS)  # units a second that the fleet can do for us
         self.tally = {"passed": 0, "held": 0, "late": 0, "crowded": 0, "reserved": 0, "overdue": 0}
 
     # What comes in
 
-    def arrive(self, now: float, ask: Ask, credit: Credit | None = None, item: Any = None) -> Outcome:
+    def arrive(
+        self, now: float, ask: AdmissionRequest, credit: QuotaBalance | None = None, item: Any = None
+    ) -> AdmissionResult:
         """Pass, hold or refuse one request.  O(log n), whatever waits."""
         now = self._tick(now)
         self.ledger.lapse(now)
@@ -113,24 +115,24 @@
             promise = self.ledger.claim(ask.customer, now, ask.units)
         if promise is None and self._kept(now, ask, credit):
             self.tally["reserved"] += 1
-            return Outcome(Step.REFUSE, self._come_back(now, ask, flow, credit))
-        held = Held(ask, now, flow, item)
+            return AdmissionResult(QueueDecision.REJECT, self._come_back(now, ask, flow, credit))
+        held = QueuedRequest(ask, now, flow, item)
         weight = self._weight(flow, ask)
         sparse = flow not in self.queue.flows and self.queue.behind(flow)
         if (sparse or not self.queue) and not self._waits(flow) and self._room(sparse):
             self.queue.charge(flow, weight, ask.units)
             self._pass(held, now)
-            return Outcome(Step.PASS)
+            return AdmissionResult(QueueDecision.FORWARD)
         promised = self.ledger.before(ask.customer, ask.latest)
         if promise is None and now + self._wait_ms(flow, ask.units + promised, weight) > ask.latest:
             self.tally["late"] += 1
-            return Outcome(Step.REFUSE, self._come_back(now, ask, flow, credit))
+            return AdmissionResult(QueueDecision.REJECT, self._come_back(now, ask, flow, credit))
         displaced = None
         if len(self.queue) >= self.settings.held_most:
             self.tally["crowded"] += 1
             displaced = self._crowded(flow, ask.units, weight)
             if displaced is None:
-                return Outcome(Step.REFUSE, self._come_back(now, ask, flow, credit))
+                return AdmissionResult(QueueDecision.REJECT, self._come_back(now, ask, flow, credit))
         rank, tag = (-ask.worth, None) if promise is None else (CLAIMED - ask.worth, promise.tag)
         held.entry = self.queue.push(flow, weight, ask.units, held, rank, tag)
         if self._waits(flow):
@@ -142,10 +144,12 @@
             heapify(self.latest)
         self.tally["held"] += 1
         if displaced is not None:
-            return Outcome(Step.HOLD, self._come_back(now, displaced.ask, displaced.flow, None), displaced)
-        return Outcome(Step.HOLD)
+            return AdmissionResult(
+                QueueDecision.QUEUE, self._come_back(now, displaced.ask, displaced.flow, None), displaced
+            )
+        return AdmissionResult(QueueDecision.QUEUE)
 
-    def refused(self, now: float, ident: int, credit: Credit | None, advice_ms: float) -> float:
+    def refused(self, now: float, ident: int, credit: QuotaBalance | None, advice_ms: float) -> float:
         """The decisions refused what was passed on; what they advise is made a promise where it can be."""
         held = self.inside.get(ident)
         if held is None or credit is None or credit.rate <= 0:
@@ -203,14 +207,14 @@
 
     # Once a turn
 
-    def release(self, now: float, blocked: bool = False) -> list[Held]:
+    def release(self, now: float, blocked: bool = False) -> list[QueuedRequest]:
         """What is to be handed to the decisions now, in order.  `blocked`: no server has room."""
         now = self._tick(now)
         while self.lent and self.lent[0] <= now:
             heappop(self.lent)
             self.out -= 1
         self.ledger.lapse(now)
-        released: list[Held] = []
+        released: list[QueuedRequest] = []
         out = self.out
         while self.queue and not (blocked and out > 0):
             if out > 0 and out >= self.limit.limit:
@@ -228,7 +232,7 @@
                 self.queue.park(held.flow)
         return released
 
-    def overdue(self, now: float) -> list[tuple[Held, float]]:
+    def overdue(self, now: float) -> list[tuple[QueuedRequest, float]]:
         """What can't be in time any more, each with its advice.  It is no longer held."""
         now = self._tick(now)
         found = []
@@ -275,13 +279,13 @@
         self.now = max(self.now, now)
         return self.now
 
-    def _flow(self, ask: Ask) -> str:
-        if self.settings.flows is FlowBy.CLIENT and ask.client:
+    def _flow(self, ask: AdmissionRequest) -> str:
+        if self.settings.flows is FlowKey.CLIENT and ask.client:
             return ask.client
         # Guards the others against whoever changes its name: all that are new share one flow.
         return ask.customer if ask.known else STRANGERS
 
-    def _weight(self, flow: str, ask: Ask) -> float:
+    def _weight(self, flow: str, ask: AdmissionRequest) -> float:
         return self.settings.stranger_weight if flow == STRANGERS else self.settings.weight(ask.plan)
 
     def _room(self, sparse: bool) -> bool:
@@ -290,7 +294,7 @@
     def _waits(self, flow: str) -> bool:
         return self.waiting.get(flow, 0) >= self.settings.waiting_most
 
-    def _kept(self, now: float, ask: Ask, credit: Credit | None) -> bool:
+    def _kept(self, now: float, ask: AdmissionRequest, credit: QuotaBalance | None) -> bool:
         """Whether what a newcomer asks for is promised to others of its center."""
         if credit is None or credit.rate <= 0 or ask.free or not self.settings.reserve:
             return False
@@ -312,7 +316,7 @@
             weights += weight
         return min(backlog * weights / weight, self.queue.units + units) / rate
 
-    def _come_back(self, now: float, ask: Ask, flow: str, credit: Credit | None) -> float:
+    def _come_back(self, now: float, ask: AdmissionRequest, flow: str, credit: QuotaBalance | None) -> float:
         """When to come back: once the quota covers it, and the door's queue is through."""
         rate, short = inf, -ask.units
         if self.queue:
@@ -329,7 +333,7 @@
         )
         return told
 
-    def _crowded(self, flow: str, units: float, weight: float) -> Held | None:
+    def _crowded(self, flow: str, units: float, weight: float) -> QueuedRequest | None:
         """Who gives way where the door is full: the last of the longest flow, if that is longer than this
         one's would be."""
         longest, mine = self.queue.longest(), self.queue.flows.get(flow)
@@ -355,18 +359,18 @@
         guess = 1000.0 * self.limit.limit * (self.units.value or 1.0) / max(1.0, self.latency_ms)
         return max(1e-3, self.capacity.value or guess)
 
-    def _meter(self, held: Held, now: float) -> None:
+    def _meter(self, held: QueuedRequest, now: float) -> None:
         """Something of a flow goes on."""
-        meter = self.flow_rates.pop(held.flow, None) or Meter(RATE_MS, now)
+        meter = self.flow_rates.pop(held.flow, None) or RateMeter(RATE_MS, now)
         if len(self.flow_rates) >= RATES_MOST:  # guards the memory
             del self.flow_rates[next(iter(self.flow_rates))]
         self.flow_rates[held.flow] = meter  # the one that went on last stands last
         self.units.add(now, held.ask.units)
-        self.all_rates = self.all_rates or Meter(RATE_MS, now)
+        self.all_rates = self.all_rates or RateMeter(RATE_MS, now)
         meter.add(now, held.ask.units)
         self.all_rates.add(now, held.ask.units)
 
-    def _pass(self, held: Held, now: float) -> None:
+    def _pass(self, held: QueuedRequest, now: float) -> None:
         self._meter(held, now)
         self.inside[held.ask.ident] = held
         self.waiting[held.flow] = self.waiting.get(held.flow, 0) + 1
@@ -380,7 +384,7 @@
             self.waiting.pop(flow, None)
         self.queue.unpark(flow)
 
-    def _drop(self, held: Held) -> None:
+    def _drop(self, held: QueuedRequest) -> None:
         del self.held[held.ask.ident]
         if held.entry is not None:
             self.queue.remove(held.entry)
--- a/scalelb/fairness/queue.py
+++ b/scalelb/admission_queue/fair_queue.py
@@ -17,7 +17,7 @@
 FINISHED_MOST = 2048  # finish tags of idle flows that are remembered
 
 
-class Entry(Generic[T]):
+class QueueEntry(Generic[T]):
     """One request that waits."""
 
     __slots__ = ("alive", "flow", "item", "order", "rank", "units")
@@ -26,7 +26,7 @@
         self.flow, self.units, self.rank, self.order, self.item = flow, units, rank, order, item
         self.alive = True
 
-    def __lt__(self, other: Entry[T]) -> bool:
+    def __lt__(self, other: QueueEntry[T]) -> bool:
         return (self.rank, self.order) < (other.rank, other.order)
 
 
@@ -37,14 +37,14 @@
     name: str
     weight: float
     start: float  # tag of its next request
-    entries: list[Entry[T]] = field(default_factory=list)  # a heap
-    arrived: list[Entry[T]] = field(default_factory=list)  # the same, in order of arrival
+    entries: list[QueueEntry[T]] = field(default_factory=list)  # a heap
+    arrived: list[QueueEntry[T]] = field(default_factory=list)  # the same, in order of arrival
     count: int = 0  # of them that are alive
     units: float = 0.0  # of those
     parked: bool = False  # passed over for now
     stamp: int = 0  # of its newest place in the heap of flows
 
-    def head(self) -> Entry[T]:
+    def head(self) -> QueueEntry[T]:
         """The next request; there is one."""
         while not self.entries[0].alive:
             heappop(self.entries)
@@ -67,14 +67,14 @@
     def __len__(self) -> int:
         return self.count
 
-    def __iter__(self) -> Iterator[Entry[T]]:
+    def __iter__(self) -> Iterator[QueueEntry[T]]:
         """All that wait, in no order."""
         for flow in self.flows.values():
             yield from (entry for entry in flow.entries if entry.alive)
 
     def push(
         self, name: str, weight: float, units: float, item: T, rank: float = 0.0, before: float | None = None
-    ) -> Entry[T]:
+    ) -> QueueEntry[T]:
         """Let a request wait.  `before`: a start tag that was promised to it earlier."""
         flow = self.flows.get(name)
         if flow is None:
@@ -85,7 +85,7 @@
             self.weights += weight
             self._place(flow)
         self.order += 1
-        entry = Entry(flow, units, rank, self.order, item)
+        entry = QueueEntry(flow, units, rank, self.order, item)
         heappush(flow.entries, entry)
         flow.arrived.append(entry)
         flow.count, flow.units = flow.count + 1, flow.units + units
@@ -97,7 +97,7 @@
             heapify(self.longest_first)
         return entry
 
-    def pop(self) -> Entry[T] | None:
+    def pop(self) -> QueueEntry[T] | None:
         """Take what goes next; nothing where every flow is parked or empty."""
         while self.ready:
             start, stamp, flow = self.ready[0]
@@ -128,7 +128,7 @@
             self.virtual = start
         self._finish(name, start + units / weight)
 
-    def remove(self, entry: Entry[T]) -> None:
+    def remove(self, entry: QueueEntry[T]) -> None:
         """Take out one that waits, for whatever reason."""
         if entry.alive:
             self._out(entry)
@@ -160,7 +160,7 @@
                 heappush(self.longest_first, (now, self.order, flow))
         return None
 
-    def last(self, flow: Flow[T]) -> Entry[T]:
+    def last(self, flow: Flow[T]) -> QueueEntry[T]:
         """What of a flow came last; it has something that waits."""
         while not flow.arrived[-1].alive:
             flow.arrived.pop()
@@ -180,7 +180,7 @@
             flow.entries = list(flow.arrived)
             heapify(flow.entries)
 
-    def _out(self, entry: Entry[T]) -> None:
+    def _out(self, entry: QueueEntry[T]) -> None:
         flow, entry.alive = entry.flow, False
         flow.count, flow.units = flow.count - 1, flow.units - entry.units
         self.count, self.units = self.count - 1, self.units - entry.units
--- a/scalelb/fairness/meter.py
+++ b/scalelb/admission_queue/rate_meter.py
@@ -5,7 +5,7 @@
 from math import exp
 
 
-class Meter:
+class RateMeter:
     """Units a second over about the last `memory_ms`; right from its first events on, as it knows its age."""
 
     __slots__ = ("at", "began", "memory_ms", "units")
@@ -25,7 +25,7 @@
         return 1000.0 * faded / (self.memory_ms * seen)
 
 
-class Mean:
+class DecayingMean:
     """A mean whose memory fades by time, not by the number of its values."""
 
     __slots__ = ("at", "memory_ms", "seen_ms", "value")
--- a/scalelb/fairness/promises.py
+++ b/scalelb/admission_queue/retry_after_reservations.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Promise:
+class Reservation:
     """Units that a flow was promised at a time; the start tag that it had then.  One that is not `kept` was
     only told a time: whoever comes back by it has no claim, and must not take another's."""
 
@@ -26,19 +26,19 @@
 
 
 @dataclass(slots=True, eq=False)
-class Account:
+class TenantReservations:
     """The promises of one flow, in the order of their times."""
 
-    promises: list[Promise] = field(default_factory=list)
+    promises: list[Reservation] = field(default_factory=list)
     units: float = 0.0
 
 
-class Ledger:
+class RetryAfterReservations:
     """All promises of one door."""
 
     def __init__(self, most: int, early_ms: float, grace_ms: float) -> None:
         self.most, self.early_ms, self.grace_ms = most, early_ms, grace_ms
-        self.accounts: dict[str, Account] = {}
+        self.accounts: dict[str, TenantReservations] = {}
         self.lapses: list[tuple[float, str]] = []  # a heap: when a promise lapses, and whose it is
         self.count = 0
         # `beyond`: honest times that may not be said; `full`: refusals for which there was no room
@@ -63,15 +63,15 @@
         if self.count >= self.most:
             self.tally["full"] += 1
             return wait, False
-        account = account or self.accounts.setdefault(flow, Account())
-        account.promises.append(Promise(now + wait, units, tag, kept))
+        account = account or self.accounts.setdefault(flow, TenantReservations())
+        account.promises.append(Reservation(now + wait, units, tag, kept))
         account.units += units * kept
         self.count += 1
         self.tally["made" if kept else "beyond"] += 1
         heappush(self.lapses, (now + wait + self.grace_ms, flow))
         return wait, kept
 
-    def claim(self, flow: str, now: float, units: float) -> Promise | None:
+    def claim(self, flow: str, now: float, units: float) -> Reservation | None:
         """Take what was told to whoever comes back now: of the oldest that are due the first of as many
         units, or else the oldest.  Nothing where that was no promise."""
         account = self.accounts.get(flow)
@@ -120,7 +120,7 @@
                 self._less(flow, account, lapsed)
                 self.tally["lapsed"] += lapsed.kept
 
-    def _less(self, flow: str, account: Account, promise: Promise) -> None:
+    def _less(self, flow: str, account: TenantReservations, promise: Reservation) -> None:
         self.count -= 1
         account.units -= promise.units * promise.kept
         if not account.promises:
--- a/scalelb/fairness/settings.py
+++ b/scalelb/admission_queue/settings.py
@@ -7,7 +7,7 @@
 from math import isfinite
 
 
-class FlowBy(Enum):
+class FlowKey(Enum):
     """What makes a flow."""
 
     CUSTOMER = "customer"  # a review center
@@ -15,10 +15,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DoorSettings:
+class AdmissionQueueSettings:
     """All that a door is told; units are the quotas' units, times milliseconds."""
 
-    flows: FlowBy = FlowBy.CUSTOMER
+    flows: FlowKey = FlowKey.CUSTOMER
     weights: tuple[float, ...] = ()  # by plan; empty: rates over their mean, 1 where there is none
     stranger_weight: float = 8.0  # of all together that were not seen lately
     held_most: int = 2048  # requests that wait at the door
--- a/scalelb/fairness/records.py
+++ b/scalelb/admission_queue/tenant_records.py
@@ -22,7 +22,7 @@
 TICK_MS = 10.0  # in which times are kept: over a year fits, rounded to the customer's loss
 
 
-class Record(NamedTuple):
+class TenantRecord(NamedTuple):
     """What is kept of a customer."""
 
     balance: float  # units on hand here
@@ -36,7 +36,7 @@
     out_until: float = 0.0  # and when they are taken to be back
 
 
-class Table:
+class RecordTable:
     """`2 ** bits` places, and some behind the last so that no neighbourhood wraps round."""
 
     def __init__(self, bits: int) -> None:
@@ -81,15 +81,15 @@
         self.count -= 1
 
 
-class Records:
+class TenantRecords:
     """The records of one limiter.  Tables come as they are needed and go once they are empty."""
 
     def __init__(self, key: bytes, bits: int = BITS, tables: int = TABLES) -> None:
         self.key, self.bits, self.most = key, bits, tables
-        self.tables: list[Table] = []
+        self.tables: list[RecordTable] = []
         self.base = 0.0
         self.given_way_until = 0.0  # whoever is not known before then has an empty store
-        self.left: dict[str, Record] = {}  # whole, from the life of this limiter that went before
+        self.left: dict[str, TenantRecord] = {}  # whole, from the life of this limiter that went before
         self.swept = 0  # ticks, of the sweep under way
         self.sweeping: Iterator[None] = iter(())
 
@@ -108,7 +108,7 @@
         """What they can come to."""
         return self.most * ((1 << self.bits) + PLACES) * 36
 
-    def put(self, name: str, record: Record, now: float) -> None:
+    def put(self, name: str, record: TenantRecord, now: float) -> None:
         """Keep a record; none where the store is full already."""
         if record.full_at <= now:
             return
@@ -122,7 +122,7 @@
             if into is None and (place := table.free(marked, ticks)) >= 0:
                 into = table
         if into is None and len(self.tables) < self.most:
-            into = Table(self.bits)
+            into = RecordTable(self.bits)
             self.tables.append(into)
             place = into.free(marked, ticks)
         if into is None:
@@ -138,7 +138,7 @@
         into.windows[place] = max(-1, min(2**31 - 1, record.window))
         into.at[place], into.full_at[place] = self._ticks(record.at), self._ticks(record.full_at)
 
-    def take(self, name: str, now: float) -> Record | None:
+    def take(self, name: str, now: float) -> TenantRecord | None:
         """Take a record out; nothing where there is none, or its store is full again."""
         if self.left and (whole := self.left.pop(name, None)) is not None:
             return whole if max(whole.full_at, whole.out_until) > now else None
@@ -151,7 +151,7 @@
                     return None
                 balance, unreported, store, total = (column[place] for column in table.numbers)
                 at = min(now, self.base + TICK_MS * table.at[place])
-                return Record(balance, unreported, store, total, table.windows[place], at, full_at)
+                return TenantRecord(balance, unreported, store, total, table.windows[place], at, full_at)
         return None
 
     def knows(self, name: str) -> bool:
--- a/scalelb/lab/experiment.py
+++ b/scalelb/lab/experiment.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from scalelb.fairness import DoorSettings
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.lab.traffic import Arrival, Clients, EveningError, Tenant, draw, read_evening
 from scalelb.policy.settings import Settings
 from scalelb.program.config import ConfigError, Node, read_door, read_settings
@@ -113,7 +113,7 @@
         """The settings, read as the program reads them."""
         return read_settings(self.settings_object(variant, index), "settings")
 
-    def door_settings(self, variant: Variant) -> DoorSettings | None:
+    def door_settings(self, variant: Variant) -> AdmissionQueueSettings | None:
         """The door, read as the program reads it."""
         return read_door(self.door_object(variant), self.settings(variant), tuple(self.plans))
 
--- a/scalelb/lab/model.py
+++ b/scalelb/lab/model.py
@@ -18,7 +18,7 @@
 
 import numpy as np
 
-from scalelb.fairness import DoorSettings
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.lab.experiment import Experiment, Fleet, Variant
 from scalelb.lab.rows import Row
 from scalelb.lab.traffic import Arrival, Clients
@@ -129,7 +129,9 @@
 class Limiter:
     """One core on the kernel: the core's ports."""
 
-    def __init__(self, world: World, index: int, settings: Settings, door: DoorSettings | None) -> None:
+    def __init__(
+        self, world: World, index: int, settings: Settings, door: AdmissionQueueSettings | None
+    ) -> None:
         self.world, self.kernel, self.index = world, world.kernel, index
         self.cpu_ns = self.longest_ns = self.turns = 0
         self.alarm = inf
@@ -215,7 +217,7 @@
         settings: Settings,
         *,
         seed: int = 1,
-        door: DoorSettings | None = None,
+        door: AdmissionQueueSettings | None = None,
         fleet: Fleet = FLEET,
         clients: Clients = CLIENTS,
         name: str = "",
--- a/scalelb/middleware/host.py
+++ b/scalelb/middleware/host.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 from math import isfinite
 
-from scalelb.fairness import DoorSettings
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.policy.endpoints import Endpoint
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import Settings
@@ -26,7 +26,7 @@
         seed: int = 0,
         add: AddToCounter | None = None,
         clock: Callable[[], float] | None = None,
-        door: DoorSettings | None = None,
+        door: AdmissionQueueSettings | None = None,
     ) -> None:
         offset = time.time() - time.monotonic()
         self.clock = clock or (lambda: (time.monotonic() + offset) * 1000.0)
--- a/scalelb/program/config.py
+++ b/scalelb/program/config.py
@@ -17,7 +17,7 @@
 
 import orjson
 
-from scalelb.fairness import DoorSettings, FlowBy
+from scalelb.admission_queue import AdmissionQueueSettings, FlowKey
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Objective, Plan, RequestClass, Settings
 
@@ -218,7 +218,7 @@
     requests_most: int
     fronts: Fronts = field(default_factory=Fronts)
     memory_mb: float = 192.0
-    fairness: DoorSettings | None = None  # none: no door before the decisions
+    fairness: AdmissionQueueSettings | None = None  # none: no door before the decisions
     admin: str = ""  # where staff calls; empty: nowhere
     inherited: int | None = None  # the descriptor of the clients' socket, where the platform holds it
     peers: PeerSettings | None = None  # none: no links to other limiters
@@ -352,7 +352,7 @@
         raise ConfigError(f"EDGE_CONFIG: {path}: not JSON: {error}") from None
 
 
-def read_door(options: Any, settings: Settings, plans: tuple[str, ...]) -> DoorSettings | None:
+def read_door(options: Any, settings: Settings, plans: tuple[str, ...]) -> AdmissionQueueSettings | None:
     """Check what a fair door is told (`deploy/fairness.toml` has the keys); nothing where it is off.
 
     An API call as well: `options` is the same object that the file holds.
@@ -369,10 +369,10 @@
     door, weights = top.node("door", {}), top.node("weights", {})
     promises, limit = top.node("promises", {}), top.node("limit", {})
     rates = tuple(plan.rate_per_s for plan in settings.plans)
-    usual = DoorSettings(plan_rates=rates)
+    usual = AdmissionQueueSettings(plan_rates=rates)
     _check_limit(limit, usual)
-    read = DoorSettings(
-        flows=door.choice("flows", FlowBy) if "flows" in door.value else usual.flows,
+    read = AdmissionQueueSettings(
+        flows=door.choice("flows", FlowKey) if "flows" in door.value else usual.flows,
         weights=tuple(
             weights.number(name, 0.0, usual.weight(place), above=True) for place, name in enumerate(plans)
         ),
@@ -392,7 +392,7 @@
     return read if door.flag("on", False) else None
 
 
-def _check_limit(limit: Node, usual: DoorSettings) -> None:
+def _check_limit(limit: Node, usual: AdmissionQueueSettings) -> None:
     keys = ("least_requests", "start_requests", "most_requests")
     least, start, most = (limit.number(key, 0.0, getattr(usual, key)) for key in keys)
     if not least <= start <= most:
@@ -404,7 +404,7 @@
 
 def read_fairness(
     environment: Mapping[str, str], settings: Settings, plans: tuple[str, ...]
-) -> DoorSettings | None:
+) -> AdmissionQueueSettings | None:
     """Read the fair door's file; without one there is no door."""
     path = Path(environment.get("SCALELB_FAIRNESS", "") or FAIRNESS)
     if not path.exists() and "SCALELB_FAIRNESS" not in environment:
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -24,7 +24,7 @@
 from typing import Any
 from zlib import crc32
 
-from scalelb.fairness.records import Record
+from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.peers import Life, Mesh
 from scalelb.program.idempotency_records import FAR_MS, KEYED
 from scalelb.program.idempotency_records import IdempotencyRecords as Tries
@@ -280,7 +280,7 @@
         }
 
 
-def read_account(value: Any, now: float) -> Record | None:
+def read_account(value: Any, now: float) -> TenantRecord | None:
     """An account as a former life published it; None where it can't be one.  Nothing in it lets more be
     granted than a store holds: who reads it bounds it by the plan."""
     if not isinstance(value, list) or len(value) != 7:
@@ -292,7 +292,7 @@
         return None
     if not 0 <= at <= now + 60_000.0 or not abs(total) <= 1e15 or full_at <= now:
         return None
-    return Record(
+    return TenantRecord(
         float(balance), float(unreported), float(store), float(total), int(window), min(float(at), now),
         min(float(full_at), now + 600_000.0),
     )  # fmt: skip
--- a/scalelb/routing/control.py
+++ b/scalelb/routing/control.py
@@ -11,7 +11,7 @@
 from math import exp, inf
 from typing import Any
 
-from scalelb.fairness.records import Records
+from scalelb.admission_queue.tenant_records import TenantRecords
 from scalelb.overload import retry_budget, subsetting
 from scalelb.overload.counter_contention import CounterContention
 from scalelb.policy.actions import (
@@ -68,7 +68,7 @@
     """Decides for one front door: `handle` takes each event and returns what to do about it, in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        super().__init__(records=Records(random.Random(f"records {seed}").randbytes(16)))
+        super().__init__(records=TenantRecords(random.Random(f"records {seed}").randbytes(16)))
         self.settings, self.aim = (
             settings,
             min(kind.latency_objective_ms for kind in settings.request_classes),
--- a/scalelb/routing/core.py
+++ b/scalelb/routing/core.py
@@ -14,7 +14,13 @@
 from math import inf, isfinite
 from typing import Any, Protocol
 
-from scalelb.fairness import Ask, Credit, DoorSettings, FairDoor, Step
+from scalelb.admission_queue import (
+    AdmissionQueue,
+    AdmissionQueueSettings,
+    AdmissionRequest,
+    QueueDecision,
+    QuotaBalance,
+)
 from scalelb.policy.actions import (
     Action,
     AddToCounter,
@@ -147,13 +153,13 @@
         clock: Callable[[], float],
         limits: Limits = Limits(),
         fault: Callable[[Exception], None] = lambda error: None,
-        door: DoorSettings | None = None,
+        door: AdmissionQueueSettings | None = None,
     ) -> None:
         self.fault = fault
         self.settings, self.ports, self.clock, self.limits = settings, ports, clock, limits
         self.gateway = Gateway(settings, seed)
         most = settings.max_retry_after_ms if settings.sends_retry_after else 1.0
-        self.door = FairDoor(door, most) if door is not None else None
+        self.door = AdmissionQueue(door, most) if door is not None else None
         self.replicas: Replicas | None = None  # none: no links to other limiters
         self.looks_at = inf  # when the door is looked at next
         self.inbox: list[Event] = [Started()]
@@ -334,7 +340,7 @@
             self._note("fault")
             self.fault(error)
 
-    def _decide_fairly(self, door: FairDoor, events: list[Event], now: float) -> None:
+    def _decide_fairly(self, door: AdmissionQueue, events: list[Event], now: float) -> None:
         """What ended comes first, then who waits, in the door's order, then who arrives."""
         arrivals = [event for event in events if isinstance(event, RequestArrived)]
         self._decide([event for event in events if not isinstance(event, RequestArrived)], now)
@@ -348,7 +354,7 @@
             self.looks_at = at
             self._timer(at, 0, LOOK)
 
-    def _release(self, door: FairDoor, now: float) -> None:
+    def _release(self, door: AdmissionQueue, now: float) -> None:
         while released := door.release(now, self.gateway.blocked):  # ends: the door empties
             events: list[Event] = []
             for held in released:
@@ -358,7 +364,7 @@
                 events.append(replace(event, queued_ms=waited, expires_in_ms=left))
             self._decide(events, now)
 
-    def _let_in(self, door: FairDoor, event: RequestArrived, now: float) -> None:
+    def _let_in(self, door: AdmissionQueue, event: RequestArrived, now: float) -> None:
         """Ask the door about one that arrives; it may give another's place to it."""
         kind, gateway = self.settings.request_classes[event.class_index], self.gateway
         ticket = self.tickets.get(event.request_id)
@@ -366,7 +372,7 @@
             return
         due = now + min(kind.latency_objective_ms, event.expires_in_ms)
         credit = self._credit(event.tenant, now)
-        ask = Ask(
+        ask = AdmissionRequest(
             ident=event.request_id,
             customer=event.tenant,
             plan=event.plan_index,
@@ -382,14 +388,14 @@
         step, advice, displaced = door.arrive(now, ask, credit, event)
         if displaced is not None:
             self._turn_away(displaced.ask.ident, advice)
-        if step is Step.PASS:
+        if step is QueueDecision.FORWARD:
             self._decide([event], now)
-        elif step is Step.REFUSE:
+        elif step is QueueDecision.REJECT:
             self._turn_away(event.request_id, advice)
 
-    def _credit(self, customer: str, now: float) -> Credit | None:
+    def _credit(self, customer: str, now: float) -> QuotaBalance | None:
         told = self.gateway.credit(customer, now)
-        return Credit(*told) if told is not None else None
+        return QuotaBalance(*told) if told is not None else None
 
     def _left(self, ticket: Ticket) -> None:
         """Whoever has the request, door or decisions, lets go of it."""
--- a/scalelb/routing/handover.py
+++ b/scalelb/routing/handover.py
@@ -14,7 +14,7 @@
 from math import inf, isfinite
 from typing import Any
 
-from scalelb.fairness.records import Record
+from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.routing.control import HOT_MOST, Gateway
 from scalelb.routing.keys import KEYS_MOST
 from scalelb.routing.state import Customer
@@ -59,7 +59,7 @@
     return account
 
 
-def _leave(gateway: Gateway, c: Customer, now: float) -> Record:
+def _leave(gateway: Gateway, c: Customer, now: float) -> TenantRecord:
     gateway._credit(c, now)
     # What the queue needs is its own, come or still to come; a shared store's queue asks the counter for it.
     queued = 0.0 if c.shared else c.queued
@@ -119,7 +119,7 @@
     return taken, faulty
 
 
-def _record(entry: Any, now: float) -> Record | None:
+def _record(entry: Any, now: float) -> TenantRecord | None:
     bounds = (
         (-UNITS, UNITS), (-UNITS, UNITS), (-UNITS, UNITS), (-1e15, 1e15), (-1, WINDOWS * 1e3),
         (now - AGE_MS, now + 1000.0), (0.0, now + 1e9), (0, 4096), (0.0, now + 1e6),
@@ -127,7 +127,7 @@
     if not _all_within(entry, bounds):
         return None
     balance, unreported, store, total, window, at, full_at, out, until = entry
-    return Record(
+    return TenantRecord(
         float(balance), float(unreported), float(store), float(total), int(window), min(float(at), now),
         float(full_at), int(out), float(until),
     )  # fmt: skip
--- a/scalelb/routing/state.py
+++ b/scalelb/routing/state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from math import exp, inf
 
-from scalelb.fairness.records import Record, Records
+from scalelb.admission_queue.tenant_records import TenantRecord, TenantRecords
 from scalelb.overload.concurrency_limit import ConcurrencyLimit
 from scalelb.overload.counter_contention import CounterContention
 from scalelb.policy.actions import Action
@@ -213,7 +213,7 @@
         """Whether something of it is under way, so that it can't be let go."""
         return bool(self.queue or self.out or self.calling)
 
-    def record(self, now: float, silent: bool = False) -> Record:
+    def record(self, now: float, silent: bool = False) -> TenantRecord:
         """What is to be kept of it.  Its store is full again once the rate has covered what is missing,
         by the counter's last word and by what this door has on hand; while the counter is `silent` only that
         tells, as what was credited since is in no word of it."""
@@ -226,7 +226,7 @@
             below = self.plan.ceiling_burst - self.ceiling * self.doors
             full_at = max(full_at, now + 1000 * max(0.0, below) / self.plan.ceiling_rate_per_s)
         balance = self.balance + self.block
-        return Record(balance, self.unreported, told, self.total, self.window, now, full_at)
+        return TenantRecord(balance, self.unreported, told, self.total, self.window, now, full_at)
 
     def room(self) -> float:
         """What of the burst is lent out; the rest covers the overdrafts of all doors.  There are none where
@@ -235,7 +235,7 @@
             return self.plan.burst
         return self.plan.burst - min(MARGIN * (self.doors + 1) * self.estimate, MARGIN_MOST * self.plan.burst)
 
-    def recall(self, record: Record | None) -> None:
+    def recall(self, record: TenantRecord | None) -> None:
         """Go on where the record ends, if there is one."""
         if record is None:
             return
@@ -302,7 +302,8 @@
     requests: dict[int, Request] = field(default_factory=dict)
     attempts: dict[tuple[int, int], Attempt] = field(default_factory=dict)
     calls: dict[int, Customer] = field(default_factory=dict)  # counter calls in flight
-    records: Records = field(default_factory=lambda: Records(b""))  # of customers that were let go
+    # Of customers that were let go.
+    records: TenantRecords = field(default_factory=lambda: TenantRecords(b""))
     unvisited: list[Customer] = field(default_factory=list)  # in this round of house-keeping
     keys: Keys = field(default_factory=Keys)  # counted for the other doors
     ages: RetryAge = field(default_factory=RetryAge)  # of requests that clients retry
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -27,7 +27,7 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from scalelb.fairness import DoorSettings
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.program.__main__ import Program
 from scalelb.program.config import Config
 
@@ -159,7 +159,8 @@
 
     def __init__(
         self, backends: int = 1, known: bool = True, sockets: int = 1024, generation: int | None = None,
-        fairness: DoorSettings | None = None, kind_names: tuple[str, ...] = ("fetch-cards", "record-answer"),
+        fairness: AdmissionQueueSettings | None = None,
+        kind_names: tuple[str, ...] = ("fetch-cards", "record-answer"),
         plan_names: tuple[str, ...] = ("basic",), **fields: Any,
     ) -> None:  # fmt: skip
         net: Any = Net()
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -9,7 +9,7 @@
 
 from driver import SETTINGS
 
-from scalelb.fairness import DoorSettings
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
@@ -54,7 +54,7 @@
         settings: Settings = SITE,
         counter: Counter | None = None,
         now: float = 1e6,
-        door: DoorSettings | None = None,
+        door: AdmissionQueueSettings | None = None,
     ) -> None:
         self.now = now
         self.counter = counter or Counter()
--- a/tests/test_fairness.py
+++ b/tests/test_admission_queue.py
@@ -11,12 +11,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from scalelb.fairness import Ask, Credit, DoorSettings, FairDoor, FlowBy, Step
-from scalelb.fairness.limit import GradientLimit
-from scalelb.fairness.meter import Mean, Meter
-from scalelb.fairness.promises import Ledger
-from scalelb.fairness.queue import FINISHED_MOST, FairQueue
-from scalelb.fairness.records import PLACES, Record, Records
+from scalelb.admission_queue import (
+    AdmissionQueue,
+    AdmissionQueueSettings,
+    AdmissionRequest,
+    FlowKey,
+    QueueDecision,
+    QuotaBalance,
+)
+from scalelb.admission_queue.fair_queue import FINISHED_MOST, FairQueue
+from scalelb.admission_queue.gradient_limit import GradientLimit
+from scalelb.admission_queue.rate_meter import DecayingMean, RateMeter
+from scalelb.admission_queue.retry_after_reservations import RetryAfterReservations
+from scalelb.admission_queue.tenant_records import PLACES, TenantRecord, TenantRecords
 
 NAMES = st.sampled_from("abcd")
 UNITS = st.sampled_from([1.0, 2.0, 6.0])
@@ -29,25 +36,27 @@
 )
 
 
-def ask(ident: int, customer: str = "a", units: float = 1.0, **more: Any) -> Ask:
-    return Ask(ident, customer, more.pop("plan", 0), units, more.pop("latest", 1e9), **more)
+def ask(ident: int, customer: str = "a", units: float = 1.0, **more: Any) -> AdmissionRequest:
+    return AdmissionRequest(ident, customer, more.pop("plan", 0), units, more.pop("latest", 1e9), **more)
 
 
-def a_door(**more: Any) -> FairDoor:
+def a_door(**more: Any) -> AdmissionQueue:
     given: dict[str, Any] = {"start_requests": 12.0, "least_requests": 6.0, "waiting_most": 1000} | more
     most = given.pop("most_retry_after_ms", inf)
-    return FairDoor(DoorSettings(**given), most)
+    return AdmissionQueue(AdmissionQueueSettings(**given), most)
 
 
-def come(door: FairDoor, request: Ask, now: float = 0.0, credit: Credit | None = None) -> Any:
+def come(
+    door: AdmissionQueue, request: AdmissionRequest, now: float = 0.0, credit: QuotaBalance | None = None
+) -> Any:
     """A request comes; what passes is sent at once."""
     outcome = door.arrive(now, request, credit)
-    if outcome.step is Step.PASS:
+    if outcome.step is QueueDecision.FORWARD:
         door.sent(request.ident)
     return outcome
 
 
-def serve(door: FairDoor, count: int) -> list[str]:
+def serve(door: AdmissionQueue, count: int) -> list[str]:
     """Whose requests go on, as those before them end."""
     found: list[str] = []
     for _ in range(count):
@@ -154,7 +163,7 @@
 
 
 def test_a_thousand_refusals_in_one_moment_are_told_times_spread_by_the_rate() -> None:
-    ledger = Ledger(4096, 25.0, 400.0)
+    ledger = RetryAfterReservations(4096, 25.0, 400.0)
     told = [ledger.promise("a", 0.0, 2.0, 0.0, 4.0, inf, 0.0)[0] for _ in range(1000)]
     gaps = [after - before for before, after in pairwise(told)]
     assert told[0] == pytest.approx(500.0)
@@ -163,7 +172,7 @@
 
 def test_promises_do_not_bunch_where_the_rate_turns_out_better() -> None:
     # Seen in the virtual replay: 396 dues in one second, each reckoned from a rate that had just risen.
-    ledger = Ledger(4096, 25.0, 400.0)
+    ledger = RetryAfterReservations(4096, 25.0, 400.0)
     rates = [100.0] * 50 + [400.0] * 50 + [50.0] * 20 + [400.0] * 50
     dues = [ledger.promise("a", 0.0, 2.0, 0.0, rate, inf, 0.0)[0] for rate in rates]
     gaps = [after - before for before, after in pairwise(dues)]
@@ -171,7 +180,7 @@
 
 
 def test_who_was_told_only_the_most_takes_nobody_elses_promise() -> None:
-    ledger = Ledger(4096, 25.0, 400.0)
+    ledger = RetryAfterReservations(4096, 25.0, 400.0)
     wait, kept = ledger.promise("a", 0.0, 1.0, 0.0, 1.0, 1000.0, 0.0)
     assert kept and wait == 1000.0
     wait, kept = ledger.promise("a", 0.0, 1.0, 0.0, 1.0, 1000.0, 0.0)
@@ -183,7 +192,7 @@
 
 @pytest.mark.parametrize(("at", "has"), [(974.0, False), (976.0, True), (1390.0, True), (1401.0, False)])
 def test_a_promise_may_be_claimed_from_a_little_before_to_the_end_of_its_grace(at: float, has: bool) -> None:
-    ledger = Ledger(16, 25.0, 400.0)
+    ledger = RetryAfterReservations(16, 25.0, 400.0)
     ledger.promise("a", 0.0, 1.0, 0.0, 1.0, inf, 0.0)
     ledger.lapse(at)
     assert (ledger.claim("a", at, 1.0) is not None) == has
@@ -192,7 +201,7 @@
 
 
 def test_the_ledger_is_bounded() -> None:
-    ledger = Ledger(100, 25.0, 400.0)
+    ledger = RetryAfterReservations(100, 25.0, 400.0)
     for number in range(1000):
         ledger.promise(f"n{number % 300}", float(number), 1.0, 0.0, 1.0, inf, 0.0)
     assert ledger.count == 100 == len(ledger.lapses) and ledger.tally["full"] == 900
@@ -248,12 +257,12 @@
 # Records
 
 
-def a_record(now: float = 0.0, full_at: float = 5000.0) -> Record:
-    return Record(1.5, 0.25, 3.0, 7.0, 42, now, full_at)
+def a_record(now: float = 0.0, full_at: float = 5000.0) -> TenantRecord:
+    return TenantRecord(1.5, 0.25, 3.0, 7.0, 42, now, full_at)
 
 
 def test_a_record_is_kept_until_its_store_is_full_again() -> None:
-    records = Records(b"key")
+    records = TenantRecords(b"key")
     records.put("ada", a_record(), 0.0)
     assert records.knows("ada") and not records.knows("bob")
     found = records.take("ada", 100.0)
@@ -270,7 +279,7 @@
 @given(st.lists(st.tuples(st.integers(0, 400), st.booleans(), st.floats(1.0, 1e4)), max_size=300))
 @settings(max_examples=50)
 def test_records_agree_with_a_plain_table_unless_one_gave_way(steps: list[tuple[int, bool, float]]) -> None:
-    records, plain, now = Records(b"key", bits=4, tables=2), {}, 1e6
+    records, plain, now = TenantRecords(b"key", bits=4, tables=2), {}, 1e6
     for name, put, ms in steps:
         now += 10.0
         if put:
@@ -286,7 +295,7 @@
 
 
 def test_tables_come_as_needed_are_bounded_and_go_once_empty() -> None:
-    records = Records(b"key")
+    records = TenantRecords(b"key")
     assert records.bytes == 0
     for number in range(140_000):
         records.put(f"n{number}", a_record(0.0, 60_000.0), 0.0)
@@ -299,7 +308,7 @@
 
 def test_chosen_names_do_not_meet_under_another_key() -> None:
     # Whoever knows one limiter's key could fill a neighbourhood; under another key the names are spread.
-    known, other = Records(b"known"), Records(b"other")
+    known, other = TenantRecords(b"known"), TenantRecords(b"other")
     mask = (1 << 13) - 1
     chosen = [n for n in map(str, range(60_000)) if known._hash(n) & mask < PLACES][:64]
     places = {other._hash(name) & mask for name in chosen}
@@ -310,7 +319,7 @@
 
 
 def test_a_meter_is_right_from_its_first_events_on_and_fades() -> None:
-    meter, mean = Meter(5000.0, 0.0), Mean(5000.0)
+    meter, mean = RateMeter(5000.0, 0.0), DecayingMean(5000.0)
     for step in range(1, 201):
         meter.add(step * 10.0, 1.0)
         mean.add(step * 10.0, 7.0 if step > 100 else 5.0)
@@ -330,7 +339,7 @@
     for number in range(40):
         come(door, ask(number, "hog"))
     assert len(door.inside) == 12 == door.out and len(door.held) == 28 and not door.release(0.0)
-    assert come(door, ask(100, "quiet")).step is Step.PASS  # has had less than its share
+    assert come(door, ask(100, "quiet")).step is QueueDecision.FORWARD  # has had less than its share
     for number in range(101, 130):
         come(door, ask(number, "quiet"))
     served = serve(door, 40)
@@ -347,7 +356,7 @@
 
 
 def test_flows_by_client_hold_whatever_names_it_asks_under() -> None:
-    door = a_door(flows=FlowBy.CLIENT)
+    door = a_door(flows=FlowKey.CLIENT)
     for number in range(100):
         come(door, ask(number, f"name-{number}", client="10.0.0.1"))
     for number in range(100, 140):
@@ -359,9 +368,9 @@
 def test_all_tenants_in_the_same_millisecond() -> None:
     door = a_door(held_most=500)
     steps = [come(door, ask(n, f"t{n}", latest=2000.0)).step for n in range(5000)]
-    assert steps.count(Step.PASS) >= 12
+    assert steps.count(QueueDecision.FORWARD) >= 12
     assert len(door.held) <= 500 and door.queue.units == len(door.held)
-    assert steps.count(Step.REFUSE) >= 5000 - 500 - 24
+    assert steps.count(QueueDecision.REJECT) >= 5000 - 500 - 24
     late = door.overdue(2001.0)
     assert len(late) == len({held.ask.ident for held, _ in late}) and not door.held
 
@@ -376,7 +385,7 @@
     assert displaced and all(held.ask.customer == "hog" for held in displaced)
     assert all(held.ask.ident not in door.held for held in displaced)
     assert len(door.held) == 50
-    assert door.arrive(0.0, ask(200, "hog")).step is Step.REFUSE  # it is the longest itself
+    assert door.arrive(0.0, ask(200, "hog")).step is QueueDecision.REJECT  # it is the longest itself
 
 
 def test_what_can_not_be_in_time_is_refused_when_it_comes() -> None:
@@ -386,38 +395,40 @@
     for _ in range(100):  # each took 100 ms: 120 units a second
         door.answered(0.0, "s", 100.0, 1.0, 3.0, True)
     steps = [door.arrive(0.0, ask(number, latest=500.0)).step for number in range(100, 300)]
-    assert steps[0] is Step.HOLD and steps[-1] is Step.REFUSE
-    assert 40 <= steps.count(Step.HOLD) <= 80  # half a second's worth
+    assert steps[0] is QueueDecision.QUEUE and steps[-1] is QueueDecision.REJECT
+    assert 40 <= steps.count(QueueDecision.QUEUE) <= 80  # half a second's worth
 
 
 def test_a_newcomer_does_not_take_what_is_promised() -> None:
     door = a_door()
-    empty = Credit(0.0, 4.0)
-    door.arrive(0.0, ask(1), Credit(1.0, 4.0))
+    empty = QuotaBalance(0.0, 4.0)
+    door.arrive(0.0, ask(1), QuotaBalance(1.0, 4.0))
     told = door.refused(0.0, 1, empty, 10.0)
     assert told == pytest.approx(250.0)
     door.finished(1)
-    have = Credit(1.0, 4.0)  # at the promised time there is enough for one
-    assert door.arrive(250.0, ask(2), have).step is Step.REFUSE
-    assert door.arrive(250.0, ask(3, retry=True), have).step is Step.PASS
-    spent = Credit(0.0, 4.0)
-    assert door.arrive(250.0, ask(4, retry=True), spent).step is Step.REFUSE  # only once: 2's is not due
-    assert door.arrive(2000.0, ask(5), have).step is Step.PASS  # unclaimed: given back
-    assert a_door(reserve=False).arrive(250.0, ask(2), have).step is Step.PASS
+    have = QuotaBalance(1.0, 4.0)  # at the promised time there is enough for one
+    assert door.arrive(250.0, ask(2), have).step is QueueDecision.REJECT
+    assert door.arrive(250.0, ask(3, retry=True), have).step is QueueDecision.FORWARD
+    spent = QuotaBalance(0.0, 4.0)
+    assert (
+        door.arrive(250.0, ask(4, retry=True), spent).step is QueueDecision.REJECT
+    )  # only once: 2's is not due
+    assert door.arrive(2000.0, ask(5), have).step is QueueDecision.FORWARD  # unclaimed: given back
+    assert a_door(reserve=False).arrive(250.0, ask(2), have).step is QueueDecision.FORWARD
 
 
 def test_what_another_door_has_counted_needs_nothing_of_what_is_promised() -> None:
     door = a_door()
-    door.arrive(0.0, ask(1), Credit(0.0, 4.0))
-    door.refused(0.0, 1, Credit(0.0, 4.0), 10.0)
-    assert door.arrive(250.0, ask(2, free=True), Credit(0.0, 4.0)).step is Step.PASS
+    door.arrive(0.0, ask(1), QuotaBalance(0.0, 4.0))
+    door.refused(0.0, 1, QuotaBalance(0.0, 4.0), 10.0)
+    assert door.arrive(250.0, ask(2, free=True), QuotaBalance(0.0, 4.0)).step is QueueDecision.FORWARD
 
 
 def test_an_honest_time_beyond_what_may_be_said_is_counted_apart() -> None:
     door = a_door(most_retry_after_ms=1000.0)
     for number in range(10):
-        door.arrive(0.0, ask(number), Credit(0.0, 4.0))
-        assert door.refused(0.0, number, Credit(0.0, 4.0), 10.0) <= 1000.0
+        door.arrive(0.0, ask(number), QuotaBalance(0.0, 4.0))
+        assert door.refused(0.0, number, QuotaBalance(0.0, 4.0), 10.0) <= 1000.0
     assert door.ledger.tally["beyond"] == 6 and door.ledger.tally["made"] == 4
 
 
@@ -452,8 +463,8 @@
             latest=now + drawn.choice([5.0, 300.0]), retry=drawn.random() < 0.3,
             known=drawn.random() < 0.8, worth=drawn.choice([2.0, 6.0]),
         )  # fmt: skip
-        outcome = door.arrive(now, request, drawn.choice([None, Credit(drawn.uniform(-5, 5), 4.0)]))
-        gone = {ident} if outcome.step is Step.REFUSE else set()
+        outcome = door.arrive(now, request, drawn.choice([None, QuotaBalance(drawn.uniform(-5, 5), 4.0)]))
+        gone = {ident} if outcome.step is QueueDecision.REJECT else set()
         gone |= {outcome.displaced.ask.ident} if outcome.displaced else set()
         gone |= {held.ask.ident for held, _ in door.overdue(now)}
         for held in door.release(now, drawn.random() < 0.1):
@@ -489,10 +500,10 @@
 )  # fmt: skip
 def test_settings_out_of_range_are_refused_by_name(name: str, value: Any) -> None:
     with pytest.raises(ValueError, match=name):
-        DoorSettings(**{name: value})
+        AdmissionQueueSettings(**{name: value})
 
 
 def test_weights_follow_the_plans_rates_unless_they_are_given() -> None:
-    usual = DoorSettings(plan_rates=(2.0, 6.0, 0.0))
+    usual = AdmissionQueueSettings(plan_rates=(2.0, 6.0, 0.0))
     assert [usual.weight(plan) for plan in range(4)] == [0.5, 1.5, 1.0, 1.0]
-    assert DoorSettings(weights=(3.0,), plan_rates=(2.0,)).weight(0) == 3.0
+    assert AdmissionQueueSettings(weights=(3.0,), plan_rates=(2.0,)).weight(0) == 3.0
--- a/tests/test_fair_door.py
+++ b/tests/test_admission_queue_in_core.py
@@ -14,14 +14,14 @@
 from test_core import Client, ask
 from test_middleware import HEADERS
 
-from scalelb.fairness import DoorSettings
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.middleware import Host, LimiterMiddleware
 from scalelb.program.config import ConfigError, read_door
 from scalelb.routing.control import HOT_MOST, VISITS
 from scalelb.routing.core import Verdict
 
-ONE = DoorSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
-TWO = DoorSettings(start_requests=2.0, least_requests=2.0, most_requests=2.0)
+ONE = AdmissionQueueSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
+TWO = AdmissionQueueSettings(start_requests=2.0, least_requests=2.0, most_requests=2.0)
 SITE_ONE = replace(SITE, has_counter=False)
 
 STORIES = {
@@ -81,7 +81,7 @@
 def test_sighup_leaves_what_waits_at_the_door() -> None:
     stage = Stage(fairness=TWO, has_counter=False)
     held_at(stage)
-    stage.reload(director="127.0.0.1:7001", fairness=DoorSettings(held_most=1))
+    stage.reload(director="127.0.0.1:7001", fairness=AdmissionQueueSettings(held_most=1))
     assert [e["at_next_start"] for e in stage.logged if e["event"] == "reloaded"] == [["SCALELB_FAIRNESS"]]
     stage.play(STORIES["one that waits is sent once there is room"])
 
@@ -187,7 +187,9 @@
 
 
 def test_refusals_for_quota_are_told_times_one_after_another() -> None:
-    back = Backside(replace(SITE_ONE, max_retry_after_ms=60_000.0), door=DoorSettings(plan_rates=(4.0,)))
+    back = Backside(
+        replace(SITE_ONE, max_retry_after_ms=60_000.0), door=AdmissionQueueSettings(plan_rates=(4.0,))
+    )
     clients: list[Client] = [ask(back, units=2.0)[0] for _ in range(40)]
     back.run()
     answers = [answer for client in clients for answer in client.answers]
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -14,21 +14,22 @@
 SOURCES = sorted((ROOT / "scalelb").rglob("*.py"))
 # fmt: off
 MAY_USE = {
-    "fairness": {"fairness"},
+    "admission_queue": {"admission_queue"},
     "overload": {"overload"},
     "agreement": {"agreement"},
     "policy": {"policy"},
-    "routing": {"fairness", "overload", "policy", "routing"},
+    "routing": {"admission_queue", "overload", "policy", "routing"},
     "protocol": {"protocol"},
     "transport": {"policy", "routing", "protocol", "transport"},
-    "middleware": {"fairness", "policy", "routing", "protocol", "middleware"},
+    "middleware": {"admission_queue", "policy", "routing", "protocol", "middleware"},
     "peers": {"peers"},
     "program": {
-        "agreement", "fairness", "overload", "peers", "policy", "routing", "protocol", "transport", "program",
+        "admission_queue", "agreement", "overload", "peers", "policy", "routing", "protocol", "transport",
+        "program",
     },
     "lab": {
-        "agreement", "fairness", "overload", "peers", "policy", "routing", "protocol", "transport", "program",
-        "lab",
+        "admission_queue", "agreement", "overload", "peers", "policy", "routing", "protocol", "transport",
+        "program", "lab",
     },
     "__main__": {"lab"},
     "wirehost": {"policy", "routing", "program", "wirehost"},
@@ -36,7 +37,7 @@
 }
 # fmt: on
 FOREIGN = {
-    "fairness": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
+    "admission_queue": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "policy": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "routing": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "protocol": {"twisted", "socket"},
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from scenario import Stage
 
-from scalelb.fairness.records import Record
+from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.policy.events import EndpointsListed
 from scalelb.policy.settings import Plan
 from scalelb.routing.bans import MOST, Bans, Word
@@ -334,7 +334,7 @@
 def test_who_comes_to_a_life_that_has_left_gets_no_share_and_none_is_forgotten_by_the_next() -> None:
     old, new = Fleet(2, has_counter=False), Fleet(2, has_counter=False)
     gateway = old.gateways[0]
-    gateway.records.put("c9", Record(0.0, 0.0, 0.0, 0.0, -1, old.now, old.now + 5000.0), old.now)
+    gateway.records.put("c9", TenantRecord(0.0, 0.0, 0.0, 0.0, -1, old.now, old.now + 5000.0), old.now)
     account = orjson.loads(orjson.dumps(take_out(gateway, old.now)))
     old.ask("stranger", 0, 1.0, sharing_limiters=1)
     assert gateway.customers["stranger"].balance <= 0.0
