--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -153,7 +153,7 @@
         now, gateway = self.loop.clock(), self.loop.core.gateway
         taken, faulty = take_in(gateway, account, now) if account else (0, 0)
         if account is None and lives:  # guards the quotas: nobody gets a fresh share beside the old one's
-            gateway.records.given_way_until = now + 1000 * OVERLAP_S
+            gateway.records.unknown_start_empty_until = now + 1000 * OVERLAP_S
         self.accept()
         self.log("taken over", lives=lives, told=account is not None, entries=taken, faulty=faulty)
         self.alone()
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -85,7 +85,7 @@
         self.tries = Tries(core, clock, self.write, flush)
         mesh.on_settled, mesh.on_closed, mesh.on_entry = self.settled, self.closed, self.entered
         # Until it has settled nobody gets a fresh share: a former life may have granted it.
-        core.gateway.records.given_way_until = inf
+        core.gateway.records.unknown_start_empty_until = inf
 
     def write(self, key: str, value: Any) -> None:
         """An own entry, or its end."""
@@ -137,9 +137,10 @@
             return
         self.published.pop(c.name, None)
         self.published[c.name] = record.full_at
-        numbers = [record.balance, record.unreported, record.store, record.total]
+        numbers = [record.balance, record.unreported_units, record.shared_balance, record.counter_total]
         told = [round(number, 3) for number in numbers]
-        self.mesh.write("u:" + c.name, [*told, record.window, round(record.at), round(record.full_at)], now)
+        times = [round(record.evicted_at), round(record.full_at)]
+        self.mesh.write("u:" + c.name, [*told, record.counter_window, *times], now)
 
     def _publish_backends(self, at: float, now: float) -> None:
         gateway = self.core.gateway
@@ -188,15 +189,17 @@
             for key, value in self.mesh.replica.chains[life].live():
                 if key[:2] == "u:" and (record := read_account(value, now)) is not None:
                     self.close_at = max(self.close_at, min(record.full_at, now + CLOSE_MS))
-                    name, old = key[2:], records.left.get(key[2:])
-                    if name not in self.core.gateway.customers and (old is None or old.at <= record.at):
-                        records.left[name] = record
+                    name, old = key[2:], records.inherited.get(key[2:])
+                    if name not in self.core.gateway.customers and (
+                        old is None or old.evicted_at <= record.evicted_at
+                    ):
+                        records.inherited[name] = record
                         taken += 1
                 elif key[:2] == "x:":
                     self.entered(life, key, value)
                 elif key[:2] == KEYED:
                     self.close_at = max(self.close_at, now + FAR_MS)
-        records.given_way_until = 0.0
+        records.unknown_start_empty_until = 0.0
         self.log("recalled", accounts=taken, lives=len(self.mesh.former()))
 
     def closed(self) -> None:
--- a/scalelb/routing/control.py
+++ b/scalelb/routing/control.py
@@ -102,7 +102,7 @@
         if max(now + TURN_MS, self.wake) < self.turn_at:
             self.turn_at = max(now + TURN_MS, self.wake)
             self.actions.append(SetTimer(TURN, self.turn_at - now))
-        if not self.housed and (self.customers or self.records.tables or self.records.left):
+        if not self.housed and (self.customers or self.records.tables or self.records.inherited):
             self.housed = True
             self.actions.append(SetTimer(HOUSE, TURN_MS if self.unvisited else HOUSE_MS))
         return self.actions
@@ -167,7 +167,7 @@
             return c
         c = Customer.fresh(e, self.settings, now, now - self.began, self.mean)
         c.shared, self.customers[e.tenant] = ledger.shared(c.plan, c.doors, self.settings), c
-        c.store = 0.0 if now < self.records.given_way_until else c.room()
+        c.store = 0.0 if now < self.records.unknown_start_empty_until else c.room()
         c.balance = c.unreported = 0.0 if c.shared else c.store / c.doors
         c.recall(self.records.take(e.tenant, now))
         if len(self.customers) > HOT_MOST:  # guards the memory: of one that has nothing under way, a record
--- a/scalelb/routing/handover.py
+++ b/scalelb/routing/handover.py
@@ -50,12 +50,12 @@
         # not in the account begins with an empty store.
         "given_way_until": now + fill_ms if gateway.records.count else 0.0,
         "figures": figures,
-        "customers": {n: list(r) for n, r in customers.items() if max(r.full_at, r.out_until) > now},
+        "customers": {n: list(r) for n, r in customers.items() if max(r.full_at, r.in_flight_until) > now},
         "servers": servers,
         "keys": [[*name, until, doors] for name, (until, doors) in gateway.keys.known.items() if until > now],
     }
     gateway.work = gateway.allowed = 0.0  # nothing more to cold servers from here
-    gateway.records.given_way_until = inf  # and no share to who comes to this life from here on
+    gateway.records.unknown_start_empty_until = inf  # and no share to who comes to this life from here on
     return account
 
 
@@ -71,7 +71,7 @@
     # Guards the quota while the counter is silent: both lives would else credit the rate.
     c.plan = c.plan if c.shared else replace(c.plan, burst=0.0)
     out = c.out + len(c.queue)
-    return record._replace(out=out, out_until=now + OUT * gateway.usual * (out > 0))
+    return record._replace(in_flight=out, in_flight_until=now + OUT * gateway.usual * (out > 0))
 
 
 def take_in(gateway: Gateway, account: dict[str, Any], now: float) -> tuple[int, int]:
@@ -91,14 +91,14 @@
         faulty += 1
     until: Any = account.get("given_way_until")
     if _within(until, now, now + FILL_MS):
-        gateway.records.given_way_until = float(until)
+        gateway.records.unknown_start_empty_until = float(until)
     customers = account.get("customers")
     for name, entry in list(customers.items())[:HOT_MOST] if isinstance(customers, dict) else []:
         record = _record(entry, now)
         if record is None or not 0 < len(name) <= 256:
             faulty += 1
         elif name not in gateway.customers:
-            gateway.records.left[name] = record
+            gateway.records.inherited[name] = record
             taken += 1
     servers = account.get("servers")
     for name, entry in list(servers.items())[:SERVERS_MOST] if isinstance(servers, dict) else []:
--- a/scalelb/routing/state.py
+++ b/scalelb/routing/state.py
@@ -240,12 +240,13 @@
         if record is None:
             return
         # Guards the quota: a record may be another limiter's copy, and no store holds more than its burst.
-        held, self.unreported, self.store = record.balance, record.unreported, record.store
+        held, self.unreported, self.store = record.balance, record.unreported_units, record.shared_balance
         self.balance = min(held, self.plan.burst) if self.plan.rate_per_s else held
-        self.total, self.window, self.store_at = record.total, record.window, record.at
-        self.credited = self.ceiling_at = record.at
+        self.total, self.window = record.counter_total, record.counter_window
+        self.store_at = record.evicted_at
+        self.credited = self.ceiling_at = record.evicted_at
         self.ceiling = 0.0
-        self.out, self.lent = record.out, [record.out_until] * record.out
+        self.out, self.lent = record.in_flight, [record.in_flight_until] * record.in_flight
 
 
 @dataclass(slots=True, eq=False)
@@ -335,4 +336,4 @@
 
     def knows(self, customer: str) -> bool:
         """Whether a customer was seen lately."""
-        return customer in self.customers or self.records.knows(customer)
+        return customer in self.customers or self.records.has_record(customer)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -297,7 +297,7 @@
     usual = gateway.usual
     take_in(gateway, account, fleet.now)
     assert gateway.usual == usual
-    assert "c0" not in gateway.records.left or account["customers"]["c0"][0] < 1e9
+    assert "c0" not in gateway.records.inherited or account["customers"]["c0"][0] < 1e9
 
 
 def test_a_limiter_without_door_or_socket_reads_no_folder_and_writes_none() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -516,14 +516,14 @@
     found.run(found.now + 3500)
     assert old.peering.mesh.closed
     assert all(c.plan.burst == 0.0 for c in old.core.gateway.customers.values() if not c.shared)
-    assert old.core.gateway.records.given_way_until == float("inf")
+    assert old.core.gateway.records.unknown_start_empty_until == float("inf")
 
 
 @settings(max_examples=40)
 @given(st.lists(st.one_of(st.floats(allow_nan=True), st.integers(), st.booleans(), st.text()), max_size=8))
 def test_an_account_that_can_not_be_is_none(value: list[Any]) -> None:
     record = read_account(value, 1e12)
-    assert record is None or (abs(record.balance) <= 1e9 and record.at <= 1e12)
+    assert record is None or (abs(record.balance) <= 1e9 and record.evicted_at <= 1e12)
 
 
 def test_a_forged_account_of_a_former_life_hands_out_a_burst_at_most() -> None:
@@ -534,7 +534,7 @@
     found.kill(1, 10.0)
     found.run(found.now + 2500)
     new: Any = found.limiters[1]
-    assert f"{7:016x}" in new.core.gateway.records.left
+    assert f"{7:016x}" in new.core.gateway.records.inherited
     found.load([Arrival(found.now + 10, "x", 7, 0, 0, 1.0, 1)])
     found.run(found.now + 50)
     assert new.core.gateway.customers[f"{7:016x}"].balance <= PLAN.burst
