--- a/scalelb/admission_queue/admission_queue.py
+++ b/scalelb/admission_queue/admission_queue.py
@@ -13,7 +13,7 @@
 from math import inf
 from typing import Any, NamedTuple
 
-from scalelb.admission_queue.fair_queue import SLACK, FairQueue, QueueEntry
+from scalelb.admission_queue.fair_queue import MAX_STALE_ENTRIES, FairQueue, QueueEntry
 from scalelb.admission_queue.gradient_limit import GradientLimit
 from scalelb.admission_queue.rate_meter import DecayingMean, RateMeter
 from scalelb.admission_queue.retry_after_reservations import RetryAfterReservations
@@ -108,22 +108,22 @@
     ) -> AdmissionResult:
         """Pass, hold or refuse one request.  O(log n), whatever waits."""
         now = self._tick(now)
-        self.ledger.lapse(now)
+        self.ledger.expire(now)
         flow = self._flow(ask)
         promise = None
         if ask.retry:
-            promise = self.ledger.claim(ask.customer, now, ask.units)
+            promise = self.ledger.redeem(ask.customer, now, ask.units)
         if promise is None and self._kept(now, ask, credit):
             self.tally["reserved"] += 1
             return AdmissionResult(QueueDecision.REJECT, self._come_back(now, ask, flow, credit))
         held = QueuedRequest(ask, now, flow, item)
         weight = self._weight(flow, ask)
-        sparse = flow not in self.queue.flows and self.queue.behind(flow)
+        sparse = flow not in self.queue.flows and self.queue.is_sparse(flow)
         if (sparse or not self.queue) and not self._waits(flow) and self._room(sparse):
-            self.queue.charge(flow, weight, ask.units)
+            self.queue.charge_unqueued(flow, weight, ask.units)
             self._pass(held, now)
             return AdmissionResult(QueueDecision.FORWARD)
-        promised = self.ledger.before(ask.customer, ask.latest)
+        promised = self.ledger.units_due_before(ask.customer, ask.latest)
         if promise is None and now + self._wait_ms(flow, ask.units + promised, weight) > ask.latest:
             self.tally["late"] += 1
             return AdmissionResult(QueueDecision.REJECT, self._come_back(now, ask, flow, credit))
@@ -133,13 +133,13 @@
             displaced = self._crowded(flow, ask.units, weight)
             if displaced is None:
                 return AdmissionResult(QueueDecision.REJECT, self._come_back(now, ask, flow, credit))
-        rank, tag = (-ask.worth, None) if promise is None else (CLAIMED - ask.worth, promise.tag)
+        rank, tag = (-ask.worth, None) if promise is None else (CLAIMED - ask.worth, promise.start_tag)
         held.entry = self.queue.push(flow, weight, ask.units, held, rank, tag)
         if self._waits(flow):
-            self.queue.park(flow)
+            self.queue.pause(flow)
         self.held[ask.ident] = held
         heappush(self.latest, (ask.latest, ask.ident))
-        if len(self.latest) > 2 * len(self.held) + SLACK:
+        if len(self.latest) > 2 * len(self.held) + MAX_STALE_ENTRIES:
             self.latest = [(h.ask.latest, ident) for ident, h in self.held.items()]
             heapify(self.latest)
         self.tally["held"] += 1
@@ -186,7 +186,7 @@
             self.latency_ms += weight * (latency_ms - self.latency_ms)
         if self.latency_ms and self.queue:  # Little's law, while the fleet has as much as it may have
             self.capacity.add(now, 1000.0 * self.out * (self.units.value or 1.0) / self.latency_ms)
-        self.limit.ended(now, server, latency_ms / max(size, 1e-6), load, self.out, good)
+        self.limit.attempt_ended(now, server, latency_ms / max(size, 1e-6), load, self.out, good)
 
     def finished(self, ident: int) -> None:
         """What was passed on has its final answer, or its client left."""
@@ -213,7 +213,7 @@
         while self.lent and self.lent[0] <= now:
             heappop(self.lent)
             self.out -= 1
-        self.ledger.lapse(now)
+        self.ledger.expire(now)
         released: list[QueuedRequest] = []
         out = self.out
         while self.queue and not (blocked and out > 0):
@@ -229,7 +229,7 @@
             out += 1
             released.append(held)
             if self._waits(held.flow):
-                self.queue.park(held.flow)
+                self.queue.pause(held.flow)
         return released
 
     def overdue(self, now: float) -> list[tuple[QueuedRequest, float]]:
@@ -262,14 +262,14 @@
                 "flows": len(self.queue.flows),
                 "out": self.out,
                 "limit": round(self.limit.limit, 1),
-                "stretch": round(self.limit.stretch, 2),
+                "stretch": round(self.limit.latency_ratio, 2),
                 "promised": ledger.count,
                 **{name: count for name, count in self.tally.items() if count},
             },
-            "promises": {name: count for name, count in ledger.tally.items() if count},
+            "promises": {name: count for name, count in ledger.counts.items() if count},
         }
         self.tally = dict.fromkeys(self.tally, 0)
-        ledger.tally = dict.fromkeys(ledger.tally, 0)
+        ledger.counts = dict.fromkeys(ledger.counts, 0)
         return found
 
     # Inside
@@ -286,7 +286,7 @@
         return ask.customer if ask.known else STRANGERS
 
     def _weight(self, flow: str, ask: AdmissionRequest) -> float:
-        return self.settings.stranger_weight if flow == STRANGERS else self.settings.weight(ask.plan)
+        return self.settings.stranger_weight if flow == STRANGERS else self.settings.plan_weight(ask.plan)
 
     def _room(self, sparse: bool) -> bool:
         return self.out < self.limit.limit * (SPARSE if sparse else 1.0)
@@ -298,7 +298,7 @@
         """Whether what a newcomer asks for is promised to others of its center."""
         if credit is None or credit.rate <= 0 or ask.free or not self.settings.reserve:
             return False
-        due, units, last = self.ledger.owed(ask.customer, now)
+        due, units, last = self.ledger.held(ask.customer, now)
         if not units:
             return False
         later = credit.hand + credit.rate * max(0.0, last - now) / 1000.0 - units
@@ -309,12 +309,12 @@
         all that waits at the whole."""
         rate = self._capacity() / 1000.0  # units a millisecond
         mine = self.queue.flows.get(flow)
-        backlog, weights = units, self.queue.weights
+        backlog, weights = units, self.queue.total_weight
         if mine is not None:
-            backlog, weight = backlog + mine.units, mine.weight
+            backlog, weight = backlog + mine.queued_units, mine.weight
         else:
             weights += weight
-        return min(backlog * weights / weight, self.queue.units + units) / rate
+        return min(backlog * weights / weight, self.queue.queued_units + units) / rate
 
     def _come_back(self, now: float, ask: AdmissionRequest, flow: str, credit: QuotaBalance | None) -> float:
         """When to come back: once the quota covers it, and the door's queue is through."""
@@ -322,13 +322,13 @@
         if self.queue:
             # What the fleet does for the flow; what waits of it, and what it was promised, comes before.
             mine = self.queue.flows.get(flow)
-            rate, short = self._rate(flow, self._weight(flow, ask), now), mine.units if mine else 0.0
+            rate, short = self._rate(flow, self._weight(flow, ask), now), mine.queued_units if mine else 0.0
         if credit is not None and credit.rate > 0 and (credit.rate < rate or -credit.hand > short):
             rate, short = min(rate, credit.rate), max(short, -credit.hand)
         if rate == inf:  # nothing is known that stands in the way: the servers had no room just now
             rate = self._rate(flow, self._weight(flow, ask), now)
-        tag = self.queue.virtual
-        told, _ = self.ledger.promise(
+        tag = self.queue.virtual_time
+        told, _ = self.ledger.reserve(
             ask.customer, now, ask.units, short, rate, self.most_retry_after_ms, tag
         )
         return told
@@ -336,11 +336,11 @@
     def _crowded(self, flow: str, units: float, weight: float) -> QueuedRequest | None:
         """Who gives way where the door is full: the last of the longest flow, if that is longer than this
         one's would be."""
-        longest, mine = self.queue.longest(), self.queue.flows.get(flow)
-        backlog = ((mine.units if mine else 0.0) + units) / weight
-        if longest is None or longest is mine or longest.units / longest.weight <= backlog:
+        longest, mine = self.queue.longest_flow(), self.queue.flows.get(flow)
+        backlog = ((mine.queued_units if mine else 0.0) + units) / weight
+        if longest is None or longest is mine or longest.queued_units / longest.weight <= backlog:
             return None
-        held = self.queue.last(longest).item
+        held = self.queue.newest_entry(longest).item
         self._drop(held)
         return held
 
@@ -348,9 +348,9 @@
         """Units a second that a flow may expect: what the others leave of what the fleet can do, and its
         share among all at the least.  What it was served itself would say less and less: a flow that is
         promised less takes less."""
-        weights = weight + max(self.queue.weights, len(self.flow_rates))
-        mine = self.flow_rates[flow].rate(now) if flow in self.flow_rates else 0.0
-        others = max(0.0, self.all_rates.rate(now) - mine) if self.all_rates else 0.0
+        weights = weight + max(self.queue.total_weight, len(self.flow_rates))
+        mine = self.flow_rates[flow].rate_per_s(now) if flow in self.flow_rates else 0.0
+        others = max(0.0, self.all_rates.rate_per_s(now) - mine) if self.all_rates else 0.0
         capacity = self._capacity()
         return PROMISED * max(capacity * weight / weights, capacity - others)
 
@@ -382,7 +382,7 @@
             self.waiting[flow] = left
         else:
             self.waiting.pop(flow, None)
-        self.queue.unpark(flow)
+        self.queue.resume(flow)
 
     def _drop(self, held: QueuedRequest) -> None:
         del self.held[held.ask.ident]
--- a/scalelb/admission_queue/fair_queue.py
+++ b/scalelb/admission_queue/fair_queue.py
@@ -1,8 +1,9 @@
 """Start-time fair queuing over flows, by units (Goyal, Vin, Cheng: "Start-time Fair Queuing", 1996).
 
 A flow's start tag is the virtual time at which its next request may begin: the later of the queue's virtual
-time and the finish tag of the request before.  The least start tag goes next.  All steps are O(log n); what
-is cancelled is skipped and swept once it is half of what is kept.
+time and the finish tag of the flow's previous request.  The flow with the least start tag is served next.
+All operations are O(log n) amortised: cancelled entries stay in the heaps, are skipped, and are removed once
+they are about half of a heap.
 """
 
 from __future__ import annotations
@@ -13,197 +14,230 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-SLACK = 64  # stale entries that a heap may hold before it is swept
-FINISHED_MOST = 2048  # finish tags of idle flows that are remembered
+MAX_STALE_ENTRIES = 64  # that a heap may hold, beside one for each live entry, before it is rebuilt
+MAX_FINISH_TAGS = 2048  # of idle flows that are remembered
+BACKLOG_ROUNDING = 1e-9  # units over weight; what two sums of the same backlog may differ by
 
 
 class QueueEntry(Generic[T]):
-    """One request that waits."""
+    """One queued request.  Entries sort by rank, the lower first, then by order of arrival."""
 
-    __slots__ = ("alive", "flow", "item", "order", "rank", "units")
+    __slots__ = ("flow", "is_queued", "item", "rank", "sequence", "units")
 
-    def __init__(self, flow: Flow[T], units: float, rank: float, order: int, item: T) -> None:
-        self.flow, self.units, self.rank, self.order, self.item = flow, units, rank, order, item
-        self.alive = True
+    def __init__(self, flow: Flow[T], units: float, rank: float, sequence: int, item: T) -> None:
+        self.flow = flow
+        self.units = units
+        self.rank = rank
+        self.sequence = sequence
+        self.item = item
+        self.is_queued = True
 
     def __lt__(self, other: QueueEntry[T]) -> bool:
-        return (self.rank, self.order) < (other.rank, other.order)
+        return (self.rank, self.sequence) < (other.rank, other.sequence)
 
 
 @dataclass(slots=True, eq=False)
 class Flow(Generic[T]):
-    """One backlogged flow.  Within it the lower rank goes first, then the order of arrival."""
+    """One backlogged flow."""
 
     name: str
     weight: float
-    start: float  # tag of its next request
-    entries: list[QueueEntry[T]] = field(default_factory=list)  # a heap
-    arrived: list[QueueEntry[T]] = field(default_factory=list)  # the same, in order of arrival
-    count: int = 0  # of them that are alive
-    units: float = 0.0  # of those
-    parked: bool = False  # passed over for now
-    stamp: int = 0  # of its newest place in the heap of flows
+    start_tag: float  # virtual time, of its next request
+    entries_by_rank: list[QueueEntry[T]] = field(default_factory=list)  # a heap
+    entries_by_arrival: list[QueueEntry[T]] = field(default_factory=list)
+    queued_count: int = 0
+    queued_units: float = 0.0
+    is_paused: bool = False
+    schedule_sequence: int = 0  # of its newest place in the heap of flows; older places are stale
 
-    def head(self) -> QueueEntry[T]:
-        """The next request; there is one."""
-        while not self.entries[0].alive:
-            heappop(self.entries)
-        return self.entries[0]
+    def next_entry(self) -> QueueEntry[T]:
+        """The entry to be served next.  The flow must have one."""
+        while not self.entries_by_rank[0].is_queued:
+            heappop(self.entries_by_rank)
+        return self.entries_by_rank[0]
 
 
 class FairQueue(Generic[T]):
-    """Requests that wait, by flow."""
+    """Queued requests, by flow.  Iterates over all queued entries, in no order; `len` counts them."""
 
     def __init__(self) -> None:
-        self.flows: dict[str, Flow[T]] = {}  # those with something that waits
-        self.ready: list[tuple[float, int, Flow[T]]] = []  # a heap of start tags; old stamps are skipped
-        self.longest_first: list[tuple[float, int, Flow[T]]] = []  # a heap of backlogs
-        self.finished: dict[str, float] = {}  # finish tags of idle flows that lie ahead of the virtual time
-        self.finish_order: list[tuple[float, str]] = []
-        self.virtual = 0.0
-        self.count = self.order = 0
-        self.units = self.weights = 0.0
+        self.flows: dict[str, Flow[T]] = {}  # backlogged flows
+        self.flows_by_start_tag: list[tuple[float, int, Flow[T]]] = []  # a heap; stale places are skipped
+        self.flows_by_backlog: list[tuple[float, int, Flow[T]]] = []  # a heap, the longest first
+        self.finish_tags: dict[str, float] = {}  # of idle flows, while they lie ahead of the virtual time
+        self.finish_tag_heap: list[tuple[float, str]] = []
+        self.virtual_time = 0.0
+        self.queued_count = 0
+        self.sequence = 0
+        self.queued_units = 0.0
+        self.total_weight = 0.0  # of the backlogged flows
 
     def __len__(self) -> int:
-        return self.count
+        return self.queued_count
 
     def __iter__(self) -> Iterator[QueueEntry[T]]:
-        """All that wait, in no order."""
         for flow in self.flows.values():
-            yield from (entry for entry in flow.entries if entry.alive)
+            yield from (entry for entry in flow.entries_by_rank if entry.is_queued)
 
     def push(
-        self, name: str, weight: float, units: float, item: T, rank: float = 0.0, before: float | None = None
+        self,
+        flow_name: str,
+        weight: float,
+        units: float,
+        item: T,
+        rank: float = 0.0,
+        max_start_tag: float | None = None,
     ) -> QueueEntry[T]:
-        """Let a request wait.  `before`: a start tag that was promised to it earlier."""
-        flow = self.flows.get(name)
+        """Queue a request.  `weight` counts while the flow has no backlog yet; `max_start_tag`: the start tag
+        that the flow had when this request was given a reservation."""
+        flow = self.flows.get(flow_name)
         if flow is None:
-            start = max(self.virtual, self.finished.pop(name, 0.0))
-            if before is not None:
-                start = min(start, before)
-            flow = self.flows[name] = Flow(name, weight, start)
-            self.weights += weight
-            self._place(flow)
-        self.order += 1
-        entry = QueueEntry(flow, units, rank, self.order, item)
-        heappush(flow.entries, entry)
-        flow.arrived.append(entry)
-        flow.count, flow.units = flow.count + 1, flow.units + units
-        self.count, self.units = self.count + 1, self.units + units
-        self.order += 1
-        heappush(self.longest_first, (-flow.units / flow.weight, self.order, flow))
-        if len(self.longest_first) > 2 * self.count + SLACK:
-            self.longest_first = [(-f.units / f.weight, n, f) for n, f in enumerate(self.flows.values())]
-            heapify(self.longest_first)
+            start_tag = max(self.virtual_time, self.finish_tags.pop(flow_name, 0.0))
+            if max_start_tag is not None:
+                start_tag = min(start_tag, max_start_tag)
+            flow = self.flows[flow_name] = Flow(flow_name, weight, start_tag)
+            self.total_weight += weight
+            self._schedule(flow)
+        self.sequence += 1
+        entry = QueueEntry(flow, units, rank, self.sequence, item)
+        heappush(flow.entries_by_rank, entry)
+        flow.entries_by_arrival.append(entry)
+        flow.queued_count += 1
+        flow.queued_units += units
+        self.queued_count += 1
+        self.queued_units += units
+        self.sequence += 1
+        heappush(self.flows_by_backlog, (-flow.queued_units / flow.weight, self.sequence, flow))
+        if len(self.flows_by_backlog) > 2 * self.queued_count + MAX_STALE_ENTRIES:
+            self.flows_by_backlog = [
+                (-f.queued_units / f.weight, n, f) for n, f in enumerate(self.flows.values())
+            ]
+            heapify(self.flows_by_backlog)
         return entry
 
     def pop(self) -> QueueEntry[T] | None:
-        """Take what goes next; nothing where every flow is parked or empty."""
-        while self.ready:
-            start, stamp, flow = self.ready[0]
-            if stamp != flow.stamp or not flow.count or flow.parked:
-                heappop(self.ready)
+        """Remove and return the entry to be served next; nothing where every flow is paused or idle."""
+        while self.flows_by_start_tag:
+            start_tag, schedule_sequence, flow = self.flows_by_start_tag[0]
+            heappop(self.flows_by_start_tag)
+            if schedule_sequence != flow.schedule_sequence or not flow.queued_count or flow.is_paused:
                 continue
-            heappop(self.ready)
-            entry = flow.head()
-            heappop(flow.entries)
-            self.virtual = max(self.virtual, start)
-            flow.start = max(start, self.virtual) + entry.units / flow.weight
-            self._out(entry)
-            if flow.count:
-                self._place(flow)
-                self._sweep(flow)
+            entry = flow.next_entry()
+            heappop(flow.entries_by_rank)
+            self.virtual_time = max(self.virtual_time, start_tag)
+            flow.start_tag = max(start_tag, self.virtual_time) + entry.units / flow.weight
+            self._remove_counts(entry)
+            if flow.queued_count:
+                self._schedule(flow)
+                self._compact(flow)
             return entry
         return None
 
-    def behind(self, name: str) -> bool:
-        """Whether an idle flow has had no more than its share: what it asks for next is due already."""
-        return self.finished.get(name, 0.0) <= self.virtual
+    def is_sparse(self, flow_name: str) -> bool:
+        """Whether an idle flow has had no more than its share, so that its next request is due already."""
+        return self.finish_tags.get(flow_name, 0.0) <= self.virtual_time
 
-    def charge(self, name: str, weight: float, units: float) -> None:
-        """A request of an idle flow went without waiting: its flow's next one begins after it.  While nobody
-        waits, virtual time goes on with it: what one uses that others leave is not held against it."""
-        start = max(self.virtual, self.finished.get(name, 0.0))
-        if not self.count:
-            self.virtual = start
-        self._finish(name, start + units / weight)
+    def charge_unqueued(self, flow_name: str, weight: float, units: float) -> None:
+        """Count a request of an idle flow that was forwarded without queuing: the flow's next start tag comes
+        after it.  While nothing is queued, virtual time advances with it: capacity that others leave unused
+        is not held against the flow that uses it."""
+        start_tag = max(self.virtual_time, self.finish_tags.get(flow_name, 0.0))
+        if not self.queued_count:
+            self.virtual_time = start_tag
+        self._remember_finish_tag(flow_name, start_tag + units / weight)
 
     def remove(self, entry: QueueEntry[T]) -> None:
-        """Take out one that waits, for whatever reason."""
-        if entry.alive:
-            self._out(entry)
-            if entry.flow.count:
-                self._sweep(entry.flow)
-
-    def park(self, name: str) -> None:
-        """Pass a flow over until `unpark`."""
-        if flow := self.flows.get(name):
-            flow.parked = True
-
-    def unpark(self, name: str) -> None:
-        """Let a flow go on from now: it missed nothing that it may catch up on."""
-        flow = self.flows.get(name)
-        if flow is not None and flow.parked:
-            flow.parked, flow.start = False, max(flow.start, self.virtual)
-            self._place(flow)
-
-    def longest(self) -> Flow[T] | None:
-        """The flow whose backlog over its weight is longest."""
-        while self.longest_first:
-            told, _, flow = self.longest_first[0]
-            now = -flow.units / flow.weight
-            if flow.count and self.flows.get(flow.name) is flow and now <= told + 1e-9:
+        """Remove a queued entry, wherever it stands.  No effect on one that is not queued any more."""
+        if entry.is_queued:
+            self._remove_counts(entry)
+            if entry.flow.queued_count:
+                self._compact(entry.flow)
+
+    def pause(self, flow_name: str) -> None:
+        """Skip a flow until `resume`.  No effect on an idle flow."""
+        if flow := self.flows.get(flow_name):
+            flow.is_paused = True
+
+    def resume(self, flow_name: str) -> None:
+        """Serve a paused flow again from now on; it does not catch up on what it was skipped for."""
+        flow = self.flows.get(flow_name)
+        if flow is not None and flow.is_paused:
+            flow.is_paused = False
+            flow.start_tag = max(flow.start_tag, self.virtual_time)
+            self._schedule(flow)
+
+    def longest_flow(self) -> Flow[T] | None:
+        """The flow whose backlog over its weight is the longest; nothing where nothing is queued."""
+        while self.flows_by_backlog:
+            known_backlog, _, flow = self.flows_by_backlog[0]
+            backlog = -flow.queued_units / flow.weight
+            is_backlogged = flow.queued_count and self.flows.get(flow.name) is flow
+            if is_backlogged and backlog <= known_backlog + BACKLOG_ROUNDING:
                 return flow
-            heappop(self.longest_first)
-            if flow.count and self.flows.get(flow.name) is flow:  # shorter by now: put back where it belongs
-                self.order += 1
-                heappush(self.longest_first, (now, self.order, flow))
+            heappop(self.flows_by_backlog)
+            if is_backlogged:  # shorter by now: put back where it belongs
+                self.sequence += 1
+                heappush(self.flows_by_backlog, (backlog, self.sequence, flow))
         return None
 
-    def last(self, flow: Flow[T]) -> QueueEntry[T]:
-        """What of a flow came last; it has something that waits."""
-        while not flow.arrived[-1].alive:
-            flow.arrived.pop()
-        return flow.arrived[-1]
-
-    def _place(self, flow: Flow[T]) -> None:
-        self.order += 1
-        flow.stamp = self.order
-        heappush(self.ready, (flow.start, flow.stamp, flow))
-        if len(self.ready) > 2 * len(self.flows) + SLACK:
-            self.ready = [(f.start, f.stamp, f) for f in self.flows.values() if f.count and not f.parked]
-            heapify(self.ready)
-
-    def _sweep(self, flow: Flow[T]) -> None:
-        if max(len(flow.entries), len(flow.arrived)) > 2 * flow.count + SLACK:
-            flow.arrived = [e for e in flow.arrived if e.alive]
-            flow.entries = list(flow.arrived)
-            heapify(flow.entries)
-
-    def _out(self, entry: QueueEntry[T]) -> None:
-        flow, entry.alive = entry.flow, False
-        flow.count, flow.units = flow.count - 1, flow.units - entry.units
-        self.count, self.units = self.count - 1, self.units - entry.units
-        if not flow.count:
+    def newest_entry(self, flow: Flow[T]) -> QueueEntry[T]:
+        """The entry of a flow that arrived last.  The flow must have one."""
+        while not flow.entries_by_arrival[-1].is_queued:
+            flow.entries_by_arrival.pop()
+        return flow.entries_by_arrival[-1]
+
+    def _schedule(self, flow: Flow[T]) -> None:
+        """Place a flow in the heap by its start tag; its older places become stale."""
+        self.sequence += 1
+        flow.schedule_sequence = self.sequence
+        heappush(self.flows_by_start_tag, (flow.start_tag, flow.schedule_sequence, flow))
+        if len(self.flows_by_start_tag) > 2 * len(self.flows) + MAX_STALE_ENTRIES:
+            self.flows_by_start_tag = [
+                (f.start_tag, f.schedule_sequence, f)
+                for f in self.flows.values()
+                if f.queued_count and not f.is_paused
+            ]
+            heapify(self.flows_by_start_tag)
+
+    def _compact(self, flow: Flow[T]) -> None:
+        """Remove a flow's stale entries once they are too many."""
+        if max(len(flow.entries_by_rank), len(flow.entries_by_arrival)) > (
+            2 * flow.queued_count + MAX_STALE_ENTRIES
+        ):
+            flow.entries_by_arrival = [entry for entry in flow.entries_by_arrival if entry.is_queued]
+            flow.entries_by_rank = list(flow.entries_by_arrival)
+            heapify(flow.entries_by_rank)
+
+    def _remove_counts(self, entry: QueueEntry[T]) -> None:
+        """Take an entry out of all counts; a flow without entries becomes idle."""
+        flow = entry.flow
+        entry.is_queued = False
+        flow.queued_count -= 1
+        flow.queued_units -= entry.units
+        self.queued_count -= 1
+        self.queued_units -= entry.units
+        if not flow.queued_count:
             del self.flows[flow.name]
-            self.weights -= flow.weight
-            self._finish(flow.name, flow.start)
-        if not self.count:  # guards the sums against what floats leave behind
-            self.units = self.weights = 0.0
-
-    def _finish(self, name: str, tag: float) -> None:
-        """Remember how far an idle flow has been served, while that is ahead of the others."""
-        if tag > self.virtual:
-            self.finished[name] = tag
-            heappush(self.finish_order, (tag, name))
-        while self.finish_order:
-            least, other = self.finish_order[0]
-            stale = self.finished.get(other) != least
-            if not stale and least > self.virtual and len(self.finished) <= FINISHED_MOST:
+            self.total_weight -= flow.weight
+            self._remember_finish_tag(flow.name, flow.start_tag)
+        if not self.queued_count:  # rounding errors would add up over the life of the queue
+            self.queued_units = 0.0
+            self.total_weight = 0.0
+
+    def _remember_finish_tag(self, flow_name: str, finish_tag: float) -> None:
+        """Remember an idle flow's finish tag while it is ahead of the virtual time; forget those that no
+        longer are, and the least ones beyond `MAX_FINISH_TAGS`."""
+        if finish_tag > self.virtual_time:
+            self.finish_tags[flow_name] = finish_tag
+            heappush(self.finish_tag_heap, (finish_tag, flow_name))
+        while self.finish_tag_heap:
+            least_tag, name = self.finish_tag_heap[0]
+            is_stale = self.finish_tags.get(name) != least_tag
+            if not is_stale and least_tag > self.virtual_time and len(self.finish_tags) <= MAX_FINISH_TAGS:
                 break
-            heappop(self.finish_order)
-            if not stale:
-                del self.finished[other]
-        if len(self.finish_order) > 2 * len(self.finished) + SLACK:
-            self.finish_order = [(tag, name) for name, tag in self.finished.items()]
-            heapify(self.finish_order)
+            heappop(self.finish_tag_heap)
+            if not is_stale:
+                del self.finish_tags[name]
+        if len(self.finish_tag_heap) > 2 * len(self.finish_tags) + MAX_STALE_ENTRIES:
+            self.finish_tag_heap = [(tag, name) for name, tag in self.finish_tags.items()]
+            heapify(self.finish_tag_heap)
--- a/scalelb/admission_queue/gradient_limit.py
+++ b/scalelb/admission_queue/gradient_limit.py
@@ -1,80 +1,128 @@
-"""How much is let in at once, learnt from the fleet's answers, so that the queue forms at the door.
-
-The gradient of latency decides (after "gradient2" of adaptive concurrency limiters): each answer's latency
-is held against what that same server takes at ease, with next to nothing else there.  Against one base for
-the whole fleet a limit is strangled as soon as slower servers come into use (`docs/fairness.md` has the
-figures, and those of AIMD and Vegas).  While answers take little longer than at ease, the limit grows by a
-part of its root; as they take longer it shrinks in proportion.  It is reckoned anew once in the time that
-an answer takes: what is let in now tells only then.
+"""A concurrency limit learnt from latency, so that requests queue here and not at the endpoints.
+
+The gradient algorithm ("gradient2" of Netflix's concurrency-limits): each response's latency is divided by
+its endpoint's baseline, the latency of that same endpoint when it is unloaded.  While responses take little
+longer than the baseline, the limit grows by a part of its square root; as they take longer it shrinks in
+proportion.  It is updated once a window of about one response time: what is admitted now shows only then.
+
+Baselines are kept for each endpoint: one baseline for the whole fleet would cut the limit as soon as slower
+endpoints come into use.  `docs/fairness.md` has the figures of this and of the constants.
 """
 
 from __future__ import annotations
 
 from math import sqrt
 
-ROUND_MS = 50.0  # the least time, and
-ROUND = 8  # the least answers, between two reckonings
-AT_EASE = 0.05  # load of a server, beside the request, up to which it is at ease: of all sizes alike
-MEMORY, SHARED = 20, 4  # answers at ease that a base remembers; what the fleet's counts for in each
-GROWTH = 0.25  # times the root of the limit: what it grows by in one
-CLEAR = 1.3  # stretch at which a limit shrinks though little is out: others load the fleet too
-DOWN = 0.5  # of the way down in one reckoning
-FAILED_CUT = 0.9  # of the limit, in a round with a time-out or a full server
-SERVERS_MOST = 1024  # whose base is remembered
+MIN_WINDOW_MS = 50.0
+MIN_WINDOW_RESPONSES = 8
+UNLOADED_LOAD = 0.05  # load of an endpoint, beside the request, up to which it counts as unloaded
+BASELINE_MEMORY = 20  # unloaded responses that a baseline is averaged over
+FLEET_BASELINE_RESPONSES = 4  # responses that the fleet's baseline counts for in each endpoint's
+GROWTH = 0.25  # times the square root of the limit: its growth in one window
+CLEAR_OVERLOAD_RATIO = 1.3  # latency over the baseline at which the limit shrinks even if it is not used up
+SHRINK_RATIO = 0.5  # part of the way down that is taken in one window
+FAILURE_RATIO = 0.9  # of the limit, in a window with a timeout or a full endpoint
+MAX_BASELINES = 1024  # endpoints whose baseline is remembered
+MIN_GRADIENT = 0.5
+MIN_DIVISOR = 1e-9  # a baseline or a ratio of 0 would end in a division by zero
 
 
 class GradientLimit:
-    """A limit on the requests that are out at once.  Requests, not units: a core serves one at a time."""
-
-    def __init__(self, start: float, least: float, most: float, tolerance: float) -> None:
-        self.limit, self.least, self.most = start, least, most
-        self.tolerance = tolerance  # times what it takes at ease: up to there the limit grows
-        self.bases: dict[str, tuple[float, int]] = {}  # by server: latency at ease, and answers; newest last
-        self.fleet: tuple[float, int] = (0.0, 0)  # the same of all
-        self.stretch = 1.0  # how much longer answers took than at ease, in the last round
-        self.began = 0.0  # when this round did
-        self.count = self.failed = 0
-        self.stretches = self.latencies = self.out_most = 0.0
-
-    def ended(self, now: float, server: str, latency_ms: float, load: float, out: float, good: bool) -> None:
-        """One answer.  `latency_ms` is scaled to a mean request; `load` is what the server had of us beside
-        it when it was sent, in mean requests; `out` the requests out now."""
-        if good and load <= AT_EASE:
-            self.bases[server] = _mean(self.bases.pop(server, (0.0, 0)), latency_ms)
-            self.fleet = _mean(self.fleet, latency_ms)
-            if len(self.bases) > SERVERS_MOST:  # guards the memory: servers come and go
-                del self.bases[next(iter(self.bases))]
-        self.out_most = max(self.out_most, out)
-        self.failed += not good
-        if good and self.fleet[1]:
-            self.count += 1
-            self.stretches += latency_ms / max(self.base(server), 1e-9)
-            self.latencies += latency_ms
-        enough = self.count >= ROUND or (self.failed and not self.count)
-        usual = self.latencies / self.count if self.count else 0.0
-        if enough and now - self.began >= max(ROUND_MS, usual):
-            self._reckon()
-            self.began, self.count, self.failed = now, 0, 0
-            self.stretches = self.latencies = self.out_most = 0.0
-
-    def base(self, server: str) -> float:
-        """Latency of a mean request at ease.  Guards a base against the few answers it may rest on: under
-        load there are no more of them."""
-        base, count = self.bases.get(server, (0.0, 0))
-        return (count * base + SHARED * self.fleet[0]) / (count + SHARED)
-
-    def _reckon(self) -> None:
-        if self.count:
-            self.stretch = self.stretches / self.count
-        gradient = max(0.5, min(1.0, self.tolerance / max(self.stretch, 1e-9)))
-        wanted = self.limit * gradient * (FAILED_CUT if self.failed else 1.0) + GROWTH * sqrt(self.limit)
-        if self.out_most < self.limit / 2 and (wanted > self.limit or self.stretch < CLEAR):
-            return  # nothing was learnt about more, and nothing speaks for less
-        self.limit = wanted if wanted > self.limit else self.limit + DOWN * (wanted - self.limit)
-        self.limit = max(self.least, min(self.most, self.limit))
-
-
-def _mean(known: tuple[float, int], value: float) -> tuple[float, int]:
+    """A limit on the requests in flight.  Requests, not units: a core serves one at a time.
+
+    `limit` begins at `initial` and stays within `min_limit` and `max_limit` (requests); it grows while
+    latency is up to `tolerance_ratio` times the baseline.
+    """
+
+    def __init__(self, initial: float, min_limit: float, max_limit: float, tolerance_ratio: float) -> None:
+        self.limit = initial
+        self.min_limit = min_limit
+        self.max_limit = max_limit
+        self.tolerance_ratio = tolerance_ratio
+        # By endpoint: the unloaded latency in milliseconds, and its responses; the newest last.
+        self.baselines: dict[str, tuple[float, int]] = {}
+        self.fleet_baseline: tuple[float, int] = (0.0, 0)
+        self.latency_ratio = 1.0  # mean latency over the baseline, in the last window
+        self.window_started_at = 0.0
+        self.responses = 0  # in this window, as all below
+        self.failures = 0
+        self.latency_ratio_sum = 0.0
+        self.latency_sum_ms = 0.0
+        self.max_in_flight = 0.0
+
+    def attempt_ended(
+        self,
+        now: float,
+        endpoint: str,
+        latency_ms: float,
+        endpoint_load: float,
+        in_flight: float,
+        succeeded: bool,
+    ) -> None:
+        """Learn from one attempt.
+
+        `latency_ms` is scaled to a request of mean size; `endpoint_load` is this limiter's other load on the
+        endpoint when the attempt was sent, in requests of mean size; `in_flight` counts all requests now.
+        """
+        if succeeded and endpoint_load <= UNLOADED_LOAD:
+            self.baselines[endpoint] = _averaged(self.baselines.pop(endpoint, (0.0, 0)), latency_ms)
+            self.fleet_baseline = _averaged(self.fleet_baseline, latency_ms)
+            if len(self.baselines) > MAX_BASELINES:  # endpoints come and go: memory would grow without end
+                del self.baselines[next(iter(self.baselines))]
+        self.max_in_flight = max(self.max_in_flight, in_flight)
+        if not succeeded:
+            self.failures += 1
+        if succeeded and self.fleet_baseline[1]:
+            self.responses += 1
+            self.latency_ratio_sum += latency_ms / max(self.baseline_ms(endpoint), MIN_DIVISOR)
+            self.latency_sum_ms += latency_ms
+        has_enough = self.responses >= MIN_WINDOW_RESPONSES or (self.failures and not self.responses)
+        mean_latency_ms = self.latency_sum_ms / self.responses if self.responses else 0.0
+        if has_enough and now - self.window_started_at >= max(MIN_WINDOW_MS, mean_latency_ms):
+            self._update()
+            self._start_window(now)
+
+    def baseline_ms(self, endpoint: str) -> float:
+        """The unloaded latency of a request of mean size at an endpoint.
+
+        It leans on the fleet's: under load a baseline gets no more responses, and would rest on very few.
+        """
+        baseline_ms, responses = self.baselines.get(endpoint, (0.0, 0))
+        fleet_baseline_ms = self.fleet_baseline[0]
+        return (responses * baseline_ms + FLEET_BASELINE_RESPONSES * fleet_baseline_ms) / (
+            responses + FLEET_BASELINE_RESPONSES
+        )
+
+    def _start_window(self, now: float) -> None:
+        self.window_started_at = now
+        self.responses = 0
+        self.failures = 0
+        self.latency_ratio_sum = 0.0
+        self.latency_sum_ms = 0.0
+        self.max_in_flight = 0.0
+
+    def _update(self) -> None:
+        """Set the limit from the window that ends."""
+        if self.responses:
+            self.latency_ratio = self.latency_ratio_sum / self.responses
+        gradient = max(MIN_GRADIENT, min(1.0, self.tolerance_ratio / max(self.latency_ratio, MIN_DIVISOR)))
+        target = self.limit * gradient
+        if self.failures:
+            target *= FAILURE_RATIO
+        target += GROWTH * sqrt(self.limit)
+        # A limit that was not used up shows nothing about a higher one; other limiters load the fleet too.
+        is_unused = self.max_in_flight < self.limit / 2
+        if is_unused and (target > self.limit or self.latency_ratio < CLEAR_OVERLOAD_RATIO):
+            return
+        if target > self.limit:
+            self.limit = target
+        else:
+            self.limit += SHRINK_RATIO * (target - self.limit)
+        self.limit = max(self.min_limit, min(self.max_limit, self.limit))
+
+
+def _averaged(known: tuple[float, int], value: float) -> tuple[float, int]:
+    """A mean and its count with one more value, over about the last `BASELINE_MEMORY` values."""
     mean, count = known
-    count = min(MEMORY, count + 1)
+    count = min(BASELINE_MEMORY, count + 1)
     return mean + (value - mean) / count, count
--- a/scalelb/admission_queue/rate_meter.py
+++ b/scalelb/admission_queue/rate_meter.py
@@ -1,41 +1,60 @@
-"""Rates that are learnt from events, with a memory that fades."""
+"""A rate and a mean learnt from events, both with exponential decay."""
 
 from __future__ import annotations
 
 from math import exp
 
+MIN_AGE_RATIO = 0.05  # of the memory: a younger meter would divide by almost nothing
+MAX_STEP_RATIO = 0.1  # of the memory: what one value counts for at most, however long ago the last one was
+
 
 class RateMeter:
-    """Units a second over about the last `memory_ms`; right from its first events on, as it knows its age."""
+    """An exponentially decaying rate over about the last `memory_ms`.
+
+    It divides by the part of its memory that it has lived through, so that its rate is right from the first
+    events on.  Times are in milliseconds; one that lies before the last is taken as the last.
+    """
 
-    __slots__ = ("at", "began", "memory_ms", "units")
+    __slots__ = ("decayed_units", "memory_ms", "started_at", "updated_at")
 
     def __init__(self, memory_ms: float, now: float) -> None:
-        self.memory_ms, self.began, self.at, self.units = memory_ms, now, now, 0.0
+        self.memory_ms = memory_ms
+        self.started_at = now
+        self.updated_at = now
+        self.decayed_units = 0.0
 
     def add(self, now: float, units: float) -> None:
-        """So many units, now."""
-        self.units = self.units * exp(min(0.0, self.at - now) / self.memory_ms) + units
-        self.at = max(now, self.at)
+        """Count units now."""
+        decay = exp(min(0.0, self.updated_at - now) / self.memory_ms)
+        self.decayed_units = self.decayed_units * decay + units
+        self.updated_at = max(now, self.updated_at)
 
-    def rate(self, now: float) -> float:
+    def rate_per_s(self, now: float) -> float:
         """Units a second."""
-        faded = self.units * exp(min(0.0, self.at - now) / self.memory_ms)
-        seen = 1.0 - exp(-max(now - self.began, 0.05 * self.memory_ms) / self.memory_ms)
-        return 1000.0 * faded / (self.memory_ms * seen)
+        units = self.decayed_units * exp(min(0.0, self.updated_at - now) / self.memory_ms)
+        age_ms = max(now - self.started_at, MIN_AGE_RATIO * self.memory_ms)
+        filled_ratio = 1.0 - exp(-age_ms / self.memory_ms)
+        return 1000.0 * units / (self.memory_ms * filled_ratio)
 
 
 class DecayingMean:
-    """A mean whose memory fades by time, not by the number of its values."""
+    """A mean over about the last `memory_ms`, each value weighted by time, not by the number of values."""
 
-    __slots__ = ("at", "memory_ms", "seen_ms", "value")
+    __slots__ = ("covered_ms", "memory_ms", "updated_at", "value")
 
     def __init__(self, memory_ms: float) -> None:
-        self.memory_ms, self.value, self.at, self.seen_ms = memory_ms, 0.0, 0.0, 0.0
+        self.memory_ms = memory_ms
+        self.value = 0.0
+        self.updated_at = 0.0
+        self.covered_ms = 0.0  # time that the values so far stand for
 
     def add(self, now: float, value: float) -> None:
-        """One value; it stands for the time since the one before, up to a tenth of the memory."""
-        passed = min(max(0.0, now - self.at), 0.1 * self.memory_ms) if self.value else 1.0
-        self.seen_ms = min(self.memory_ms, self.seen_ms + passed)
-        self.value += (passed / self.seen_ms if self.seen_ms else 1.0) * (value - self.value)
-        self.at = max(now, self.at)
+        """Add a value; it stands for the time since the previous one."""
+        if self.value:
+            elapsed_ms = min(max(0.0, now - self.updated_at), MAX_STEP_RATIO * self.memory_ms)
+        else:
+            elapsed_ms = 1.0
+        self.covered_ms = min(self.memory_ms, self.covered_ms + elapsed_ms)
+        value_weight = elapsed_ms / self.covered_ms if self.covered_ms else 1.0
+        self.value += value_weight * (value - self.value)
+        self.updated_at = max(now, self.updated_at)
--- a/scalelb/admission_queue/retry_after_reservations.py
+++ b/scalelb/admission_queue/retry_after_reservations.py
@@ -1,9 +1,10 @@
-"""The ledger of promises: who was told to come back when, and what is held back for them.
+"""Reservations behind Retry-After: which tenant was told to come back when, and what is held back for it.
 
-A promise names a time and holds back its units for a short grace after it.  Promises of a flow follow one
-another by the rate at which credit comes, so a thousand refusals in one second are told a thousand times.
-Whoever comes back marked as a retry claims the oldest promise of its flow that is due, not one by name:
-through another limiter of its set it takes what somebody else left there.  What nobody claims goes back.
+A reservation names a time and holds back its units until a short grace period after it.  A tenant's
+reservations follow one another by the rate at which its quota is refilled, so that a thousand rejections in
+one second get a thousand different times.  A request that is marked as a retry redeems the oldest reservation
+of its tenant that is due, not one by name: a retry through another limiter takes what a request there left.
+What is not redeemed expires, and its units are free again.
 """
 
 from __future__ import annotations
@@ -13,115 +14,151 @@
 from heapq import heappop, heappush
 from math import inf
 
+MAX_EXAMINED = 8  # due reservations that are searched for one of as many units
+MIN_WAIT_MS = 1.0
+
 
 @dataclass(slots=True)
 class Reservation:
-    """Units that a flow was promised at a time; the start tag that it had then.  One that is not `kept` was
-    only told a time: whoever comes back by it has no claim, and must not take another's."""
+    """Units that a tenant may redeem at a time.
+
+    One that does not hold units was only told a time, the longest allowed: a retry at that time redeems
+    nothing, and must not take another's reservation.
+    """
 
-    due: float
+    due_at: float
     units: float
-    tag: float
-    kept: bool = True
+    start_tag: float  # virtual time of the fair queue when it was made
+    holds_units: bool = True
 
 
 @dataclass(slots=True, eq=False)
 class TenantReservations:
-    """The promises of one flow, in the order of their times."""
+    """The reservations of one tenant, in the order of their times."""
 
-    promises: list[Reservation] = field(default_factory=list)
-    units: float = 0.0
+    reservations: list[Reservation] = field(default_factory=list)
+    held_units: float = 0.0
 
 
 class RetryAfterReservations:
-    """All promises of one door."""
+    """All reservations of one admission queue: at most `max_reservations`.
 
-    def __init__(self, most: int, early_ms: float, grace_ms: float) -> None:
-        self.most, self.early_ms, self.grace_ms = most, early_ms, grace_ms
-        self.accounts: dict[str, TenantReservations] = {}
-        self.lapses: list[tuple[float, str]] = []  # a heap: when a promise lapses, and whose it is
-        self.count = 0
-        # `beyond`: honest times that may not be said; `full`: refusals for which there was no room
-        self.tally = {"made": 0, "claimed": 0, "lapsed": 0, "beyond": 0, "full": 0}
+    A reservation may be redeemed from `early_ms` before its time until `grace_ms` after it.
+    """
 
-    def promise(
-        self, flow: str, now: float, units: float, short: float, rate: float, most_ms: float, tag: float
+    def __init__(self, max_reservations: int, early_ms: float, grace_ms: float) -> None:
+        self.max_reservations = max_reservations
+        self.early_ms = early_ms
+        self.grace_ms = grace_ms
+        self.by_tenant: dict[str, TenantReservations] = {}
+        self.expiries: list[tuple[float, str]] = []  # a heap: when a reservation expires, and whose it is
+        self.count = 0
+        # Counts under their names in the log.  `beyond`: the honest time was longer than the longest allowed;
+        # `full`: there was no room for a reservation.
+        self.counts = {"made": 0, "claimed": 0, "lapsed": 0, "beyond": 0, "full": 0}
+
+    def reserve(
+        self,
+        tenant: str,
+        now: float,
+        units: float,
+        missing_units: float,
+        rate_per_s: float,
+        max_wait_ms: float,
+        start_tag: float,
     ) -> tuple[float, bool]:
-        """Name a time for so many units: once the rate (units/s) has covered what the flow is short of and
-        all that it was promised before.  Returns milliseconds and whether they are promised; beyond
-        `most_ms` that is all that may be said, and nothing is held back."""
-        account = self.accounts.get(flow)
-        owed = account.units if account else 0.0
-        wait = 1000.0 * max(0.0, short + owed + units) / rate if rate > 0 else inf
-        if account and account.promises and rate > 0:
-            # Guards the time after the last promise against everybody, where the rate or the backlog has
-            # since turned out better: they would all be told the same.
-            wait = max(wait, account.promises[-1].due - now + 1000.0 * units / rate)
-        wait = max(1.0, wait)
-        kept = wait <= most_ms
-        wait = min(wait, most_ms)
-        if self.count >= self.most:
-            self.tally["full"] += 1
-            return wait, False
-        account = account or self.accounts.setdefault(flow, TenantReservations())
-        account.promises.append(Reservation(now + wait, units, tag, kept))
-        account.units += units * kept
+        """Reserve units at the time when the rate has covered what the tenant is missing, all its earlier
+        reservations and these units.
+
+        Returns the wait in milliseconds and whether units are held for it.  Beyond `max_wait_ms` that is all
+        that may be told, and no units are held.
+        """
+        account = self.by_tenant.get(tenant)
+        held_units = account.held_units if account else 0.0
+        if rate_per_s > 0:
+            wait_ms = 1000.0 * max(0.0, missing_units + held_units + units) / rate_per_s
+        else:
+            wait_ms = inf
+        if account and account.reservations and rate_per_s > 0:
+            # Where the rate or the backlog has improved since the last reservation, all later ones would
+            # else be told the same time.
+            last_due_ms = account.reservations[-1].due_at - now
+            wait_ms = max(wait_ms, last_due_ms + 1000.0 * units / rate_per_s)
+        wait_ms = max(MIN_WAIT_MS, wait_ms)
+        holds_units = wait_ms <= max_wait_ms
+        wait_ms = min(wait_ms, max_wait_ms)
+        if self.count >= self.max_reservations:
+            self.counts["full"] += 1
+            return wait_ms, False
+        account = account or self.by_tenant.setdefault(tenant, TenantReservations())
+        account.reservations.append(Reservation(now + wait_ms, units, start_tag, holds_units))
         self.count += 1
-        self.tally["made" if kept else "beyond"] += 1
-        heappush(self.lapses, (now + wait + self.grace_ms, flow))
-        return wait, kept
-
-    def claim(self, flow: str, now: float, units: float) -> Reservation | None:
-        """Take what was told to whoever comes back now: of the oldest that are due the first of as many
-        units, or else the oldest.  Nothing where that was no promise."""
-        account = self.accounts.get(flow)
-        if account is None or not account.promises or account.promises[0].due > now + self.early_ms:
+        if holds_units:
+            account.held_units += units
+            self.counts["made"] += 1
+        else:
+            self.counts["beyond"] += 1
+        heappush(self.expiries, (now + wait_ms + self.grace_ms, tenant))
+        return wait_ms, holds_units
+
+    def redeem(self, tenant: str, now: float, units: float) -> Reservation | None:
+        """Take a reservation for a retry: of the oldest that are due the first of as many units, or else the
+        oldest.  Nothing where none is due, or where that one holds no units."""
+        account = self.by_tenant.get(tenant)
+        if account is None or not account.reservations:
             return None
-        found = 0
-        for place, promise in enumerate(account.promises):
-            if promise.due > now + self.early_ms or place >= 8:
+        latest_due_at = now + self.early_ms
+        if account.reservations[0].due_at > latest_due_at:
+            return None
+        index = 0
+        for candidate_index, candidate in enumerate(account.reservations):
+            if candidate.due_at > latest_due_at or candidate_index >= MAX_EXAMINED:
                 break
-            if promise.units == units:
-                found = place
+            if candidate.units == units:
+                index = candidate_index
                 break
-        promise = account.promises[found]
-        del account.promises[found]
-        self._less(flow, account, promise)
-        self.tally["claimed"] += promise.kept
-        return promise if promise.kept else None
-
-    def owed(self, flow: str, now: float) -> tuple[float, float, float]:
-        """Units that are due by now, all units promised, and when the last of them is due."""
-        account = self.accounts.get(flow)
-        if account is None or not account.promises:
+        reservation = account.reservations.pop(index)
+        self._remove_counts(tenant, account, reservation)
+        if not reservation.holds_units:
+            return None
+        self.counts["claimed"] += 1
+        return reservation
+
+    def held(self, tenant: str, now: float) -> tuple[float, float, float]:
+        """Units held for reservations that are due by now, for all, and the time when the last is due."""
+        account = self.by_tenant.get(tenant)
+        if account is None or not account.reservations:
             return 0.0, 0.0, now
-        due = 0.0
-        for promise in account.promises:
-            if promise.due > now + self.early_ms:
+        due_units = 0.0
+        for reservation in account.reservations:
+            if reservation.due_at > now + self.early_ms:
                 break
-            due += promise.units * promise.kept
-        return due, account.units, account.promises[-1].due
+            if reservation.holds_units:
+                due_units += reservation.units
+        return due_units, account.held_units, account.reservations[-1].due_at
 
-    def before(self, flow: str, until: float) -> float:
-        """Units that a flow was promised for before a time, about: O(log n)."""
-        account = self.accounts.get(flow)
+    def units_due_before(self, tenant: str, until: float) -> float:
+        """Units held for a tenant's reservations before a time, estimated by their number: O(log n)."""
+        account = self.by_tenant.get(tenant)
         if account is None:
             return 0.0
-        count = bisect_right(account.promises, until, key=lambda promise: promise.due)
-        return account.units * count / len(account.promises)
-
-    def lapse(self, now: float) -> None:
-        """Give back what nobody claimed in time."""
-        while self.lapses and self.lapses[0][0] <= now:
-            _, flow = heappop(self.lapses)
-            account = self.accounts.get(flow)
-            while account and account.promises and account.promises[0].due + self.grace_ms <= now:
-                lapsed = account.promises.pop(0)
-                self._less(flow, account, lapsed)
-                self.tally["lapsed"] += lapsed.kept
-
-    def _less(self, flow: str, account: TenantReservations, promise: Reservation) -> None:
+        count = bisect_right(account.reservations, until, key=lambda reservation: reservation.due_at)
+        return account.held_units * count / len(account.reservations)
+
+    def expire(self, now: float) -> None:
+        """Remove the reservations whose grace period is over."""
+        while self.expiries and self.expiries[0][0] <= now:
+            _, tenant = heappop(self.expiries)
+            account = self.by_tenant.get(tenant)
+            while account and account.reservations and account.reservations[0].due_at + self.grace_ms <= now:
+                expired = account.reservations.pop(0)
+                self._remove_counts(tenant, account, expired)
+                if expired.holds_units:
+                    self.counts["lapsed"] += 1
+
+    def _remove_counts(self, tenant: str, account: TenantReservations, reservation: Reservation) -> None:
         self.count -= 1
-        account.units -= promise.units * promise.kept
-        if not account.promises:
-            del self.accounts[flow]
+        if reservation.holds_units:
+            account.held_units -= reservation.units
+        if not account.reservations:
+            del self.by_tenant[tenant]
--- a/scalelb/program/config.py
+++ b/scalelb/program/config.py
@@ -374,7 +374,8 @@
     read = AdmissionQueueSettings(
         flows=door.choice("flows", FlowKey) if "flows" in door.value else usual.flows,
         weights=tuple(
-            weights.number(name, 0.0, usual.weight(place), above=True) for place, name in enumerate(plans)
+            weights.number(name, 0.0, usual.plan_weight(plan_index), above=True)
+            for plan_index, name in enumerate(plans)
         ),
         stranger_weight=weights.number("strangers", 0.0, usual.stranger_weight, above=True),
         held_most=door.whole("held", 1, usual.held_most),
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -19,7 +19,7 @@
     QueueDecision,
     QuotaBalance,
 )
-from scalelb.admission_queue.fair_queue import FINISHED_MOST, FairQueue
+from scalelb.admission_queue.fair_queue import MAX_FINISH_TAGS, FairQueue
 from scalelb.admission_queue.gradient_limit import GradientLimit
 from scalelb.admission_queue.rate_meter import DecayingMean, RateMeter
 from scalelb.admission_queue.retry_after_reservations import RetryAfterReservations
@@ -82,17 +82,17 @@
             found = list(waiting)[one % len(waiting)]
             queue.remove(waiting.pop(found))
         elif what in ("park", "unpark") and one in queue.flows:
-            (queue.park if what == "park" else queue.unpark)(one)
+            (queue.pause if what == "park" else queue.resume)(one)
         elif what == "pop":
             entry = queue.pop()
             open_flows = {e.flow.name for e in waiting.values()} - parked
             assert (entry is None) == (not open_flows), "work conservation"
             if entry is not None:
                 assert waiting.pop(entry.item) is entry
-        parked = {name for name, flow in queue.flows.items() if flow.parked}
+        parked = {name for name, flow in queue.flows.items() if flow.is_paused}
         assert len(queue) == len(waiting)
-        assert queue.units == pytest.approx(sum(e.units for e in waiting.values()))
-        assert queue.weights == pytest.approx(sum(WEIGHTS[name] for name in queue.flows))
+        assert queue.queued_units == pytest.approx(sum(e.units for e in waiting.values()))
+        assert queue.total_weight == pytest.approx(sum(WEIGHTS[name] for name in queue.flows))
         assert {e.item for e in queue} == set(waiting)
 
 
@@ -140,8 +140,8 @@
     queue: FairQueue[str] = FairQueue()
     for name, rank in (("cheap", -2.0), ("dear", -6.0), ("cheaper", -1.0)):
         queue.push("a", 1.0, 1.0, name, rank)
-    longest = queue.longest()
-    assert longest is not None and queue.last(longest).item == "cheaper"
+    longest = queue.longest_flow()
+    assert longest is not None and queue.newest_entry(longest).item == "cheaper"
     assert [queue.pop().item for _ in range(3)] == ["dear", "cheap", "cheaper"]  # type: ignore[union-attr]
 
 
@@ -153,10 +153,15 @@
             queue.remove(entry)
         else:
             queue.pop()
-        queue.charge(f"m{number}", 1.0, 6.0)
-    assert not queue.flows and not queue.units
-    kept = (len(queue.ready), len(queue.longest_first), len(queue.finish_order), len(queue.finished))
-    assert max(kept) <= 2 * FINISHED_MOST + 64
+        queue.charge_unqueued(f"m{number}", 1.0, 6.0)
+    assert not queue.flows and not queue.queued_units
+    kept = (
+        len(queue.flows_by_start_tag),
+        len(queue.flows_by_backlog),
+        len(queue.finish_tag_heap),
+        len(queue.finish_tags),
+    )
+    assert max(kept) <= 2 * MAX_FINISH_TAGS + 64
 
 
 # Promises
@@ -164,7 +169,7 @@
 
 def test_a_thousand_refusals_in_one_moment_are_told_times_spread_by_the_rate() -> None:
     ledger = RetryAfterReservations(4096, 25.0, 400.0)
-    told = [ledger.promise("a", 0.0, 2.0, 0.0, 4.0, inf, 0.0)[0] for _ in range(1000)]
+    told = [ledger.reserve("a", 0.0, 2.0, 0.0, 4.0, inf, 0.0)[0] for _ in range(1000)]
     gaps = [after - before for before, after in pairwise(told)]
     assert told[0] == pytest.approx(500.0)
     assert min(gaps) == pytest.approx(500.0) == max(gaps)
@@ -174,37 +179,37 @@
     # Seen in the virtual replay: 396 dues in one second, each reckoned from a rate that had just risen.
     ledger = RetryAfterReservations(4096, 25.0, 400.0)
     rates = [100.0] * 50 + [400.0] * 50 + [50.0] * 20 + [400.0] * 50
-    dues = [ledger.promise("a", 0.0, 2.0, 0.0, rate, inf, 0.0)[0] for rate in rates]
+    dues = [ledger.reserve("a", 0.0, 2.0, 0.0, rate, inf, 0.0)[0] for rate in rates]
     gaps = [after - before for before, after in pairwise(dues)]
     assert all(gap >= 2000.0 / rate - 1e-6 for gap, rate in zip(gaps, rates[1:], strict=False))
 
 
 def test_who_was_told_only_the_most_takes_nobody_elses_promise() -> None:
     ledger = RetryAfterReservations(4096, 25.0, 400.0)
-    wait, kept = ledger.promise("a", 0.0, 1.0, 0.0, 1.0, 1000.0, 0.0)
+    wait, kept = ledger.reserve("a", 0.0, 1.0, 0.0, 1.0, 1000.0, 0.0)
     assert kept and wait == 1000.0
-    wait, kept = ledger.promise("a", 0.0, 1.0, 0.0, 1.0, 1000.0, 0.0)
+    wait, kept = ledger.reserve("a", 0.0, 1.0, 0.0, 1.0, 1000.0, 0.0)
     assert not kept and wait == 1000.0  # the honest time, 2 s, may not be said
-    assert ledger.tally["beyond"] == 1
-    first, second = (ledger.claim("a", 1000.0, 1.0) for _ in range(2))
+    assert ledger.counts["beyond"] == 1
+    first, second = (ledger.redeem("a", 1000.0, 1.0) for _ in range(2))
     assert first is not None and second is None and ledger.count == 0
 
 
 @pytest.mark.parametrize(("at", "has"), [(974.0, False), (976.0, True), (1390.0, True), (1401.0, False)])
 def test_a_promise_may_be_claimed_from_a_little_before_to_the_end_of_its_grace(at: float, has: bool) -> None:
     ledger = RetryAfterReservations(16, 25.0, 400.0)
-    ledger.promise("a", 0.0, 1.0, 0.0, 1.0, inf, 0.0)
-    ledger.lapse(at)
-    assert (ledger.claim("a", at, 1.0) is not None) == has
-    ledger.lapse(1e6)
-    assert not ledger.accounts and not ledger.count and not ledger.lapses
+    ledger.reserve("a", 0.0, 1.0, 0.0, 1.0, inf, 0.0)
+    ledger.expire(at)
+    assert (ledger.redeem("a", at, 1.0) is not None) == has
+    ledger.expire(1e6)
+    assert not ledger.by_tenant and not ledger.count and not ledger.expiries
 
 
 def test_the_ledger_is_bounded() -> None:
     ledger = RetryAfterReservations(100, 25.0, 400.0)
     for number in range(1000):
-        ledger.promise(f"n{number % 300}", float(number), 1.0, 0.0, 1.0, inf, 0.0)
-    assert ledger.count == 100 == len(ledger.lapses) and ledger.tally["full"] == 900
+        ledger.reserve(f"n{number % 300}", float(number), 1.0, 0.0, 1.0, inf, 0.0)
+    assert ledger.count == 100 == len(ledger.expiries) and ledger.counts["full"] == 900
 
 
 # The limit
@@ -214,15 +219,15 @@
     now = begin
     for number in range(count):
         now += 10.0
-        given: dict[str, Any] = {"load": 3.0, "out": limit.limit, "good": True} | more
-        limit.ended(now, f"s{number % 4}", 100.0 * stretch, **given)
+        given: dict[str, Any] = {"endpoint_load": 3.0, "in_flight": limit.limit, "succeeded": True} | more
+        limit.attempt_ended(now, f"s{number % 4}", 100.0 * stretch, **given)
     return now
 
 
 def test_the_limit_grows_at_ease_and_shrinks_as_answers_stretch() -> None:
     limit = GradientLimit(64.0, 12.0, 4096.0, 1.05)
-    now = answers(limit, 1.0, 100, load=0.0)  # at ease: bases are learnt
-    assert limit.base("s0") == pytest.approx(100.0)
+    now = answers(limit, 1.0, 100, endpoint_load=0.0)  # at ease: bases are learnt
+    assert limit.baseline_ms("s0") == pytest.approx(100.0)
     slow = answers(limit, 3.0, 600, now)
     assert limit.limit == 12.0
     answers(limit, 0.95, 3000, slow)
@@ -231,27 +236,27 @@
 
 def test_the_base_is_not_learnt_under_load_and_leans_on_the_fleets() -> None:
     limit = GradientLimit(64.0, 12.0, 4096.0, 1.05)
-    now = answers(limit, 1.0, 100, load=0.0)
+    now = answers(limit, 1.0, 100, endpoint_load=0.0)
     answers(limit, 5.0, 1000, now)
-    assert limit.base("s0") == pytest.approx(100.0)  # a jam is not taken for the usual
-    limit.ended(0.0, "new", 500.0, 0.0, 64.0, True)  # one answer of a server that nobody knows
-    assert 100.0 < limit.base("new") < 250.0
+    assert limit.baseline_ms("s0") == pytest.approx(100.0)  # a jam is not taken for the usual
+    limit.attempt_ended(0.0, "new", 500.0, 0.0, 64.0, True)  # one answer of a server that nobody knows
+    assert 100.0 < limit.baseline_ms("new") < 250.0
 
 
 def test_what_little_is_out_tells_nothing_about_more() -> None:
     limit = GradientLimit(64.0, 12.0, 4096.0, 1.05)
-    answers(limit, 0.8, 1000, load=0.0, out=4.0)
+    answers(limit, 0.8, 1000, endpoint_load=0.0, in_flight=4.0)
     assert limit.limit == 64.0
 
 
 def test_failures_cut_the_limit_and_servers_are_forgotten() -> None:
     limit = GradientLimit(64.0, 12.0, 4096.0, 1.05)
-    now = answers(limit, 1.0, 100, load=0.0, out=4.0)
-    answers(limit, 1.0, 50, now, good=False, out=64.0)
+    now = answers(limit, 1.0, 100, endpoint_load=0.0, in_flight=4.0)
+    answers(limit, 1.0, 50, now, succeeded=False, in_flight=64.0)
     assert limit.limit < 64.0
     for number in range(3000):
-        limit.ended(0.0, f"x{number}", 100.0, 0.0, 1.0, True)
-    assert len(limit.bases) <= 1024
+        limit.attempt_ended(0.0, f"x{number}", 100.0, 0.0, 1.0, True)
+    assert len(limit.baselines) <= 1024
 
 
 # Records
@@ -324,11 +329,11 @@
         meter.add(step * 10.0, 1.0)
         mean.add(step * 10.0, 7.0 if step > 100 else 5.0)
         if step > 50:
-            assert meter.rate(step * 10.0) == pytest.approx(100.0, rel=0.03)
+            assert meter.rate_per_s(step * 10.0) == pytest.approx(100.0, rel=0.03)
     assert 5.0 < mean.value < 7.0
-    assert meter.rate(60_000.0) < 1.0
+    assert meter.rate_per_s(60_000.0) < 1.0
     meter.add(100.0, 1.0)  # a clock that steps back
-    assert 0.0 < meter.rate(100.0) < inf
+    assert 0.0 < meter.rate_per_s(100.0) < inf
 
 
 # The door
@@ -369,7 +374,7 @@
     door = a_door(held_most=500)
     steps = [come(door, ask(n, f"t{n}", latest=2000.0)).step for n in range(5000)]
     assert steps.count(QueueDecision.FORWARD) >= 12
-    assert len(door.held) <= 500 and door.queue.units == len(door.held)
+    assert len(door.held) <= 500 and door.queue.queued_units == len(door.held)
     assert steps.count(QueueDecision.REJECT) >= 5000 - 500 - 24
     late = door.overdue(2001.0)
     assert len(late) == len({held.ask.ident for held, _ in late}) and not door.held
@@ -429,7 +434,7 @@
     for number in range(10):
         door.arrive(0.0, ask(number), QuotaBalance(0.0, 4.0))
         assert door.refused(0.0, number, QuotaBalance(0.0, 4.0), 10.0) <= 1000.0
-    assert door.ledger.tally["beyond"] == 6 and door.ledger.tally["made"] == 4
+    assert door.ledger.counts["beyond"] == 6 and door.ledger.counts["made"] == 4
 
 
 @pytest.mark.parametrize("step", [-3_600_000.0, 3_600_000.0])
@@ -487,8 +492,8 @@
     for left in list(door.inside):
         door.finished(left)
     door.overdue(now + 1e6)
-    door.ledger.lapse(now + 1e6)
-    assert not door.held and not door.waiting and not door.out and not door.ledger.accounts
+    door.ledger.expire(now + 1e6)
+    assert not door.held and not door.waiting and not door.out and not door.ledger.by_tenant
 
 
 @pytest.mark.parametrize(
@@ -505,5 +510,5 @@
 
 def test_weights_follow_the_plans_rates_unless_they_are_given() -> None:
     usual = AdmissionQueueSettings(plan_rates=(2.0, 6.0, 0.0))
-    assert [usual.weight(plan) for plan in range(4)] == [0.5, 1.5, 1.0, 1.0]
-    assert AdmissionQueueSettings(weights=(3.0,), plan_rates=(2.0,)).weight(0) == 3.0
+    assert [usual.plan_weight(plan) for plan in range(4)] == [0.5, 1.5, 1.0, 1.0]
+    assert AdmissionQueueSettings(weights=(3.0,), plan_rates=(2.0,)).plan_weight(0) == 3.0
