--- a/scalelb/admission_queue/__init__.py
+++ b/scalelb/admission_queue/__init__.py
@@ -1,13 +1,14 @@
-"""Fair queues at the door: who goes next, how much may wait, and when to come back.
+"""The admission queue: fair queuing, a concurrency limit and Retry-After reservations.
 
-Stands between what arrives and the decisions (`scalelb.routing`), which still say which server, whether
-again and what is turned away for quota.  No input or output; clocks are passed in (milliseconds).  See
-`docs/fairness.md`.
+It stands between the listeners and the limiter (`scalelb.routing`), which still decides which endpoint gets a
+request, whether it is retried, and what is rejected for quota.  No I/O; times are passed in, in milliseconds.
+See `docs/fairness.md`.
 """
 
-from scalelb.admission_queue.admission_queue import (
-    AdmissionQueue,
+from scalelb.admission_queue.admission_queue import AdmissionQueue
+from scalelb.admission_queue.admission_request import (
     AdmissionRequest,
+    AdmissionResult,
     QueueDecision,
     QueuedRequest,
     QuotaBalance,
@@ -18,6 +19,7 @@
     "AdmissionQueue",
     "AdmissionQueueSettings",
     "AdmissionRequest",
+    "AdmissionResult",
     "FlowKey",
     "QueueDecision",
     "QueuedRequest",
--- a/scalelb/admission_queue/fair_queue.py
+++ b/scalelb/admission_queue/fair_queue.py
@@ -186,6 +186,18 @@
             flow.entries_by_arrival.pop()
         return flow.entries_by_arrival[-1]
 
+    def entry_to_displace(self, flow_name: str, weight: float, units: float) -> QueueEntry[T] | None:
+        """Whose place a new request of a flow takes in a full queue: the newest entry of the longest flow, if
+        that is longer than `flow_name` would be with `units` more; else nothing."""
+        longest_flow = self.longest_flow()
+        own_flow = self.flows.get(flow_name)
+        if longest_flow is None or longest_flow is own_flow:
+            return None
+        own_units = own_flow.queued_units if own_flow else 0.0
+        if longest_flow.queued_units / longest_flow.weight <= (own_units + units) / weight:
+            return None
+        return self.newest_entry(longest_flow)
+
     def _schedule(self, flow: Flow[T]) -> None:
         """Place a flow in the heap by its start tag; its older places become stale."""
         self.sequence += 1
--- /dev/null
+++ b/scalelb/admission_queue/forwarded_requests.py
@@ -0,0 +1,49 @@
+"""Requests that were forwarded and are not finished, and how many are in flight."""
+
+from __future__ import annotations
+
+from heapq import heappop, heappush
+
+from scalelb.admission_queue.admission_request import QueuedRequest
+
+
+class ForwardedRequests:
+    """Forwarded requests by id.
+
+    Of each flow at most about `max_unsent_per_flow` wait, forwarded and not sent, for quota or an endpoint.
+    """
+
+    def __init__(self, max_unsent_per_flow: int) -> None:
+        self.max_unsent_per_flow = max_unsent_per_flow
+        self.by_id: dict[int, QueuedRequest] = {}
+        self.unsent_by_flow: dict[str, int] = {}
+        self.expected_ends: list[float] = []  # a heap: when requests that callers send themselves have ended
+        self.in_flight = 0
+
+    def add(self, forwarded: QueuedRequest) -> None:
+        """Count a request as forwarded and not sent."""
+        self.by_id[forwarded.request.request_id] = forwarded
+        self.unsent_by_flow[forwarded.flow] = self.unsent_by_flow.get(forwarded.flow, 0) + 1
+
+    def has_too_many_unsent(self, flow: str) -> bool:
+        """Whether a flow has as many unsent requests as it may."""
+        return self.unsent_by_flow.get(flow, 0) >= self.max_unsent_per_flow
+
+    def remove_unsent(self, flow: str) -> None:
+        """One request of a flow was sent, or finished without."""
+        unsent = self.unsent_by_flow.get(flow, 0) - 1
+        if unsent > 0:
+            self.unsent_by_flow[flow] = unsent
+        else:
+            self.unsent_by_flow.pop(flow, None)
+
+    def expect_end(self, ends_at: float) -> None:
+        """Count a request as in flight until a time, as nobody tells when it ends."""
+        self.in_flight += 1
+        heappush(self.expected_ends, ends_at)
+
+    def remove_ended(self, now: float) -> None:
+        """Take those out of the count that are expected to have ended."""
+        while self.expected_ends and self.expected_ends[0] <= now:
+            heappop(self.expected_ends)
+            self.in_flight -= 1
--- /dev/null
+++ b/scalelb/admission_queue/throughput_estimate.py
@@ -0,0 +1,67 @@
+"""How many units a second the fleet serves for this limiter, and how many of them a flow may expect."""
+
+from __future__ import annotations
+
+from scalelb.admission_queue.rate_meter import DecayingMean, RateMeter
+
+RATE_MEMORY_MS = 5000.0
+MAX_FLOW_RATES = 256  # flows whose rate is remembered
+NEWEST_LATENCY_WEIGHT = 0.05  # of the newest response in the mean latency
+RESERVABLE_RATIO = 0.9  # of what a flow may expect: estimates lag behind
+MIN_CAPACITY_PER_S = 1e-3  # units a second; waits are divided by it
+
+
+class ThroughputEstimate:
+    """Estimates from the requests that were forwarded and the responses that came."""
+
+    def __init__(self) -> None:
+        self.mean_latency_ms = 0.0
+        self.flow_rates: dict[str, RateMeter] = {}  # units forwarded; the flow forwarded last stands last
+        self.total_rate: RateMeter | None = None
+        self.mean_units = DecayingMean(RATE_MEMORY_MS)  # of a request
+        self.measured_capacity = DecayingMean(RATE_MEMORY_MS)  # units a second
+
+    def record_forwarded(self, now: float, flow: str, units: float) -> None:
+        """A request of a flow is forwarded."""
+        flow_rate = self.flow_rates.pop(flow, None) or RateMeter(RATE_MEMORY_MS, now)
+        if len(self.flow_rates) >= MAX_FLOW_RATES:  # flows come and go: memory would grow without end
+            del self.flow_rates[next(iter(self.flow_rates))]
+        self.flow_rates[flow] = flow_rate
+        self.mean_units.add(now, units)
+        self.total_rate = self.total_rate or RateMeter(RATE_MEMORY_MS, now)
+        flow_rate.add(now, units)
+        self.total_rate.add(now, units)
+
+    def record_response(
+        self, now: float, latency_ms: float, succeeded: bool, in_flight: int, is_saturated: bool
+    ) -> None:
+        """An attempt ended.  `is_saturated`: requests are queued, so that the fleet has all it may have."""
+        if succeeded:
+            weight = NEWEST_LATENCY_WEIGHT if self.mean_latency_ms else 1.0
+            self.mean_latency_ms += weight * (latency_ms - self.mean_latency_ms)
+        if self.mean_latency_ms and is_saturated:  # Little's law holds while the fleet is saturated
+            mean_units = self.mean_units.value or 1.0
+            self.measured_capacity.add(now, 1000.0 * in_flight * mean_units / self.mean_latency_ms)
+
+    def capacity_per_s(self, concurrency_limit: float) -> float:
+        """Units a second that the fleet serves: measured, or else guessed by Little's law from the limit."""
+        capacity = self.measured_capacity.value
+        if not capacity:
+            mean_units = self.mean_units.value or 1.0
+            capacity = 1000.0 * concurrency_limit * mean_units / max(1.0, self.mean_latency_ms)
+        return max(MIN_CAPACITY_PER_S, capacity)
+
+    def flow_rate_per_s(
+        self, now: float, flow: str, weight: float, backlogged_weight: float, concurrency_limit: float
+    ) -> float:
+        """Units a second that a flow may expect: what the other flows leave of the capacity, and its share by
+        weight at the least.
+
+        Its own past rate is left out on purpose: reservations by that rate would come later and later, as a
+        flow that is promised less takes less.
+        """
+        total_weight = weight + max(backlogged_weight, len(self.flow_rates))
+        own_rate = self.flow_rates[flow].rate_per_s(now) if flow in self.flow_rates else 0.0
+        other_rates = max(0.0, self.total_rate.rate_per_s(now) - own_rate) if self.total_rate else 0.0
+        capacity = self.capacity_per_s(concurrency_limit)
+        return RESERVABLE_RATIO * max(capacity * weight / total_weight, capacity - other_rates)
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -323,7 +323,7 @@
             let_in=round(gateway.open, 3),
             usual_ms=round(gateway.usual, 1),
             counts=dict(sorted(tally.items())),
-            **(core.door.told() if core.door is not None else {}),
+            **(core.door.log_fields() if core.door is not None else {}),
             **(self.links.told() if self.links is not None else {}),
             **({"admin": {str(s): n for s, n in self.admin.calls.items()}} if self.admin is not None else {}),
         )
--- a/scalelb/routing/core.py
+++ b/scalelb/routing/core.py
@@ -344,13 +344,13 @@
         """What ended comes first, then who waits, in the door's order, then who arrives."""
         arrivals = [event for event in events if isinstance(event, RequestArrived)]
         self._decide([event for event in events if not isinstance(event, RequestArrived)], now)
-        for held, advice in door.overdue(now):
-            self._turn_away(held.ask.ident, advice)
+        for held, advice in door.remove_overdue(now):
+            self._turn_away(held.request.request_id, advice)
         self._release(door, now)
         for event in arrivals:
             self._let_in(door, event, now)
         self._release(door, now)
-        if (at := door.wakes_at()) < inf and not now < self.looks_at <= at:
+        if (at := door.next_wakeup_at()) < inf and not now < self.looks_at <= at:
             self.looks_at = at
             self._timer(at, 0, LOOK)
 
@@ -358,8 +358,8 @@
         while released := door.release(now, self.gateway.blocked):  # ends: the door empties
             events: list[Event] = []
             for held in released:
-                waited = now - held.since
-                event: RequestArrived = held.item
+                waited = now - held.arrived_at
+                event: RequestArrived = held.payload
                 left = event.expires_in_ms - waited
                 events.append(replace(event, queued_ms=waited, expires_in_ms=left))
             self._decide(events, now)
@@ -372,22 +372,23 @@
             return
         due = now + min(kind.latency_objective_ms, event.expires_in_ms)
         credit = self._credit(event.tenant, now)
+        is_charged = gateway.keys.counted(event.tenant, event.idempotency_key, 1 << event.listener, now)
         ask = AdmissionRequest(
-            ident=event.request_id,
-            customer=event.tenant,
-            plan=event.plan_index,
+            request_id=event.request_id,
+            tenant=event.tenant,
+            plan_index=event.plan_index,
             units=event.units,
-            latest=due - gateway.need(kind),
-            worth=kind.priority_weight,
-            retry=event.is_retry,
+            latest_send_at=due - gateway.need(kind),
+            priority_weight=kind.priority_weight,
+            is_retry=event.is_retry,
             client=ticket.client,
-            known=gateway.knows(event.tenant),
-            free=gateway.keys.counted(event.tenant, event.idempotency_key, 1 << event.listener, now),
+            is_known_tenant=gateway.knows(event.tenant),
+            is_already_charged=is_charged,
         )
         ticket.size = 0.5 + 0.5 * event.units / gateway.mean
-        step, advice, displaced = door.arrive(now, ask, credit, event)
+        step, advice, displaced = door.request_arrived(now, ask, credit, event)
         if displaced is not None:
-            self._turn_away(displaced.ask.ident, advice)
+            self._turn_away(displaced.request.request_id, advice)
         if step is QueueDecision.FORWARD:
             self._decide([event], now)
         elif step is QueueDecision.REJECT:
@@ -399,7 +400,7 @@
 
     def _left(self, ticket: Ticket) -> None:
         """Whoever has the request, door or decisions, lets go of it."""
-        if self.door is None or not self.door.gone(ticket.ident):
+        if self.door is None or not self.door.request_cancelled(ticket.ident):
             self.inbox.append(RequestCancelled(ticket.ident))
 
     def _turn_away(self, ident: int, advice: float) -> None:
@@ -453,7 +454,7 @@
             self._send(action, now)
         elif isinstance(action, AdmitRequest):
             if self.door is not None:
-                self.door.admitted(now, action.request_id, self.gateway.usual)
+                self.door.request_admitted(now, action.request_id, self.gateway.usual)
             self._final(action.request_id, Verdict.ADMITTED)
         elif isinstance(action, RejectRequest):
             self._final(action.request_id, Verdict.REFUSED, self._advice(action, now))
@@ -473,11 +474,11 @@
         if (
             self.door is None
             or not self.settings.sends_retry_after
-            or action.request_id not in self.door.inside
+            or action.request_id not in self.door.forwarded.by_id
         ):
             return action.retry_after_ms
-        credit = self._credit(self.door.inside[action.request_id].ask.customer, now)
-        return self.door.refused(now, action.request_id, credit, action.retry_after_ms)
+        credit = self._credit(self.door.forwarded.by_id[action.request_id].request.tenant, now)
+        return self.door.request_rejected(now, action.request_id, credit, action.retry_after_ms)
 
     def _send(self, action: SendAttempt, now: float) -> None:
         ticket = self.tickets.get(action.request_id)
@@ -500,7 +501,7 @@
         if self.replicas is not None and (request := self.gateway.requests.get(ticket.ident)) is not None:
             self.replicas.sends(request)  # before it is sent: whoever dies in between has sent nothing
         if self.door is not None:
-            self.door.sent(ticket.ident)
+            self.door.attempt_sent(ticket.ident)
             server = self.gateway.servers.get(action.endpoint)
             own = 2.0 * ticket.size - 1.0
             ticket.load = server.load - own if server is not None else 0.0
@@ -524,7 +525,7 @@
         elapsed, ticket.first = (ticket.first or self.clock()) - ticket.sent, 0.0
         if self.door is not None and outcome in LOAD_SIGNALS:
             good = outcome is Outcome.OK
-            self.door.answered(self.clock(), ticket.server, elapsed, ticket.size, ticket.load, good)
+            self.door.attempt_ended(self.clock(), ticket.server, elapsed, ticket.size, ticket.load, good)
         self.inbox.append(
             AttemptEnded(
                 ticket.ident,
@@ -558,7 +559,7 @@
         """The request is finished; its ticket stays while an attempt is out."""
         ticket.done = True
         if self.door is not None:
-            self.door.finished(ticket.ident)
+            self.door.request_finished(ticket.ident)
         if not ticket.out:
             self.tickets.pop(ticket.ident, None)
 
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -1,4 +1,4 @@
-"""The parts of the fair door: queue, promises, limit, records, meter; and the door on them."""
+"""The parts of the fair queue: queue, promises, limit, records, meter; and the queue on them."""
 
 from __future__ import annotations
 
@@ -36,34 +36,36 @@
 )
 
 
-def ask(ident: int, customer: str = "a", units: float = 1.0, **more: Any) -> AdmissionRequest:
-    return AdmissionRequest(ident, customer, more.pop("plan", 0), units, more.pop("latest", 1e9), **more)
+def a_request(request_id: int, tenant: str = "a", units: float = 1.0, **more: Any) -> AdmissionRequest:
+    return AdmissionRequest(
+        request_id, tenant, more.pop("plan_index", 0), units, more.pop("latest_send_at", 1e9), **more
+    )
 
 
-def a_door(**more: Any) -> AdmissionQueue:
+def an_admission_queue(**more: Any) -> AdmissionQueue:
     given: dict[str, Any] = {"start_requests": 12.0, "least_requests": 6.0, "waiting_most": 1000} | more
-    most = given.pop("most_retry_after_ms", inf)
+    most = given.pop("max_retry_after_ms", inf)
     return AdmissionQueue(AdmissionQueueSettings(**given), most)
 
 
-def come(
-    door: AdmissionQueue, request: AdmissionRequest, now: float = 0.0, credit: QuotaBalance | None = None
+def arrive(
+    queue: AdmissionQueue, request: AdmissionRequest, now: float = 0.0, credit: QuotaBalance | None = None
 ) -> Any:
     """A request comes; what passes is sent at once."""
-    outcome = door.arrive(now, request, credit)
-    if outcome.step is QueueDecision.FORWARD:
-        door.sent(request.ident)
+    outcome = queue.request_arrived(now, request, credit)
+    if outcome.decision is QueueDecision.FORWARD:
+        queue.attempt_sent(request.request_id)
     return outcome
 
 
-def serve(door: AdmissionQueue, count: int) -> list[str]:
+def serve(queue: AdmissionQueue, count: int) -> list[str]:
     """Whose requests go on, as those before them end."""
     found: list[str] = []
     for _ in range(count):
-        for ident in list(door.inside):
-            door.sent(ident)
-            door.finished(ident)
-        found += [held.ask.customer for held in door.release(0.0)]
+        for ident in list(queue.forwarded.by_id):
+            queue.attempt_sent(ident)
+            queue.request_finished(ident)
+        found += [queued.request.tenant for queued in queue.release(0.0)]
     return found[:count]
 
 
@@ -106,7 +108,7 @@
     first: list[float], second: list[float], weight: float, idle: int
 ) -> None:
     # The bound of start-time fair queuing: largest request over weight, of both.  `second` comes late: what
-    # it did not use before is neither saved for it nor held against it.
+    # it did not use before is neither saved for it nor queued against it.
     queue: FairQueue[int] = FairQueue()
     for number, units in enumerate(first):
         queue.push("a", 1.0, units, number)
@@ -336,164 +338,196 @@
     assert 0.0 < meter.rate_per_s(100.0) < inf
 
 
-# The door
+# The admission queue
 
 
 def test_what_finds_room_passes_and_the_rest_waits_in_fair_order() -> None:
-    door = a_door()
+    queue = an_admission_queue()
     for number in range(40):
-        come(door, ask(number, "hog"))
-    assert len(door.inside) == 12 == door.out and len(door.held) == 28 and not door.release(0.0)
-    assert come(door, ask(100, "quiet")).step is QueueDecision.FORWARD  # has had less than its share
+        arrive(queue, a_request(number, "hog"))
+    assert (
+        len(queue.forwarded.by_id) == 12 == queue.forwarded.in_flight
+        and len(queue.queued.by_id) == 28
+        and not queue.release(0.0)
+    )
+    assert (
+        arrive(queue, a_request(100, "quiet")).decision is QueueDecision.FORWARD
+    )  # has had less than its share
     for number in range(101, 130):
-        come(door, ask(number, "quiet"))
-    served = serve(door, 40)
+        arrive(queue, a_request(number, "quiet"))
+    served = serve(queue, 40)
     assert abs(served.count("hog") - served.count("quiet")) <= 2, served
 
 
 def test_one_that_changes_its_name_shares_one_flow_with_all_that_are_new() -> None:
-    door = a_door(stranger_weight=1.0)
+    queue = an_admission_queue(stranger_weight=1.0)
     for number in range(500):
-        come(door, ask(number, f"name-{number}", known=False))
+        arrive(queue, a_request(number, f"name-{number}", is_known_tenant=False))
     for number in range(500, 540):
-        come(door, ask(number, "usual"))
-    assert serve(door, 40).count("usual") >= 18
+        arrive(queue, a_request(number, "usual"))
+    assert serve(queue, 40).count("usual") >= 18
 
 
 def test_flows_by_client_hold_whatever_names_it_asks_under() -> None:
-    door = a_door(flows=FlowKey.CLIENT)
+    queue = an_admission_queue(flows=FlowKey.CLIENT)
     for number in range(100):
-        come(door, ask(number, f"name-{number}", client="10.0.0.1"))
+        arrive(queue, a_request(number, f"name-{number}", client="10.0.0.1"))
     for number in range(100, 140):
-        come(door, ask(number, "usual", client="10.0.0.2"))
-    assert set(door.queue.flows) <= {"10.0.0.1", "10.0.0.2"}
-    assert serve(door, 40).count("usual") >= 18
+        arrive(queue, a_request(number, "usual", client="10.0.0.2"))
+    assert set(queue.fair_queue.flows) <= {"10.0.0.1", "10.0.0.2"}
+    assert serve(queue, 40).count("usual") >= 18
 
 
 def test_all_tenants_in_the_same_millisecond() -> None:
-    door = a_door(held_most=500)
-    steps = [come(door, ask(n, f"t{n}", latest=2000.0)).step for n in range(5000)]
+    queue = an_admission_queue(held_most=500)
+    steps = [arrive(queue, a_request(n, f"t{n}", latest_send_at=2000.0)).decision for n in range(5000)]
     assert steps.count(QueueDecision.FORWARD) >= 12
-    assert len(door.held) <= 500 and door.queue.queued_units == len(door.held)
+    assert len(queue.queued.by_id) <= 500 and queue.fair_queue.queued_units == len(queue.queued.by_id)
     assert steps.count(QueueDecision.REJECT) >= 5000 - 500 - 24
-    late = door.overdue(2001.0)
-    assert len(late) == len({held.ask.ident for held, _ in late}) and not door.held
+    late = queue.remove_overdue(2001.0)
+    assert len(late) == len({queued.request.request_id for queued, _ in late}) and not queue.queued.by_id
 
 
 def test_where_the_door_is_full_the_longest_flow_gives_way() -> None:
-    door = a_door(held_most=50)
+    queue = an_admission_queue(held_most=50)
     for number in range(80):
-        come(door, ask(number, "hog"))
-    assert len(door.held) == 50
-    outcomes = [come(door, ask(number, "quiet")) for number in range(100, 130)]
+        arrive(queue, a_request(number, "hog"))
+    assert len(queue.queued.by_id) == 50
+    outcomes = [arrive(queue, a_request(number, "quiet")) for number in range(100, 130)]
     displaced = [o.displaced for o in outcomes if o.displaced is not None]
-    assert displaced and all(held.ask.customer == "hog" for held in displaced)
-    assert all(held.ask.ident not in door.held for held in displaced)
-    assert len(door.held) == 50
-    assert door.arrive(0.0, ask(200, "hog")).step is QueueDecision.REJECT  # it is the longest itself
+    assert displaced and all(queued.request.tenant == "hog" for queued in displaced)
+    assert all(queued.request.request_id not in queue.queued.by_id for queued in displaced)
+    assert len(queue.queued.by_id) == 50
+    # It is the longest itself.
+    assert queue.request_arrived(0.0, a_request(200, "hog")).decision is QueueDecision.REJECT
 
 
 def test_what_can_not_be_in_time_is_refused_when_it_comes() -> None:
-    door = a_door()
+    queue = an_admission_queue()
     for number in range(13):
-        come(door, ask(number))
+        arrive(queue, a_request(number))
     for _ in range(100):  # each took 100 ms: 120 units a second
-        door.answered(0.0, "s", 100.0, 1.0, 3.0, True)
-    steps = [door.arrive(0.0, ask(number, latest=500.0)).step for number in range(100, 300)]
+        queue.attempt_ended(0.0, "s", 100.0, 1.0, 3.0, True)
+    steps = [
+        queue.request_arrived(0.0, a_request(number, latest_send_at=500.0)).decision
+        for number in range(100, 300)
+    ]
     assert steps[0] is QueueDecision.QUEUE and steps[-1] is QueueDecision.REJECT
     assert 40 <= steps.count(QueueDecision.QUEUE) <= 80  # half a second's worth
 
 
 def test_a_newcomer_does_not_take_what_is_promised() -> None:
-    door = a_door()
+    queue = an_admission_queue()
     empty = QuotaBalance(0.0, 4.0)
-    door.arrive(0.0, ask(1), QuotaBalance(1.0, 4.0))
-    told = door.refused(0.0, 1, empty, 10.0)
+    queue.request_arrived(0.0, a_request(1), QuotaBalance(1.0, 4.0))
+    told = queue.request_rejected(0.0, 1, empty, 10.0)
     assert told == pytest.approx(250.0)
-    door.finished(1)
+    queue.request_finished(1)
     have = QuotaBalance(1.0, 4.0)  # at the promised time there is enough for one
-    assert door.arrive(250.0, ask(2), have).step is QueueDecision.REJECT
-    assert door.arrive(250.0, ask(3, retry=True), have).step is QueueDecision.FORWARD
+    assert queue.request_arrived(250.0, a_request(2), have).decision is QueueDecision.REJECT
+    assert queue.request_arrived(250.0, a_request(3, is_retry=True), have).decision is QueueDecision.FORWARD
     spent = QuotaBalance(0.0, 4.0)
+    # Only once: 2's is not due.
+    assert queue.request_arrived(250.0, a_request(4, is_retry=True), spent).decision is QueueDecision.REJECT
+    # Unclaimed: given back.
+    assert queue.request_arrived(2000.0, a_request(5), have).decision is QueueDecision.FORWARD
     assert (
-        door.arrive(250.0, ask(4, retry=True), spent).step is QueueDecision.REJECT
-    )  # only once: 2's is not due
-    assert door.arrive(2000.0, ask(5), have).step is QueueDecision.FORWARD  # unclaimed: given back
-    assert a_door(reserve=False).arrive(250.0, ask(2), have).step is QueueDecision.FORWARD
+        an_admission_queue(reserve=False).request_arrived(250.0, a_request(2), have).decision
+        is QueueDecision.FORWARD
+    )
 
 
 def test_what_another_door_has_counted_needs_nothing_of_what_is_promised() -> None:
-    door = a_door()
-    door.arrive(0.0, ask(1), QuotaBalance(0.0, 4.0))
-    door.refused(0.0, 1, QuotaBalance(0.0, 4.0), 10.0)
-    assert door.arrive(250.0, ask(2, free=True), QuotaBalance(0.0, 4.0)).step is QueueDecision.FORWARD
+    queue = an_admission_queue()
+    queue.request_arrived(0.0, a_request(1), QuotaBalance(0.0, 4.0))
+    queue.request_rejected(0.0, 1, QuotaBalance(0.0, 4.0), 10.0)
+    assert (
+        queue.request_arrived(250.0, a_request(2, is_already_charged=True), QuotaBalance(0.0, 4.0)).decision
+        is QueueDecision.FORWARD
+    )
 
 
 def test_an_honest_time_beyond_what_may_be_said_is_counted_apart() -> None:
-    door = a_door(most_retry_after_ms=1000.0)
+    queue = an_admission_queue(max_retry_after_ms=1000.0)
     for number in range(10):
-        door.arrive(0.0, ask(number), QuotaBalance(0.0, 4.0))
-        assert door.refused(0.0, number, QuotaBalance(0.0, 4.0), 10.0) <= 1000.0
-    assert door.ledger.counts["beyond"] == 6 and door.ledger.counts["made"] == 4
+        queue.request_arrived(0.0, a_request(number), QuotaBalance(0.0, 4.0))
+        assert queue.request_rejected(0.0, number, QuotaBalance(0.0, 4.0), 10.0) <= 1000.0
+    assert queue.reservations.counts["beyond"] == 6 and queue.reservations.counts["made"] == 4
 
 
 @pytest.mark.parametrize("step", [-3_600_000.0, 3_600_000.0])
 def test_a_clock_that_steps_leaves_nothing_behind(step: float) -> None:
-    door = a_door()
+    queue = an_admission_queue()
     for number in range(30):
-        come(door, ask(number, latest=1e7 + 2000.0), 1e7)
-    for ident in list(door.inside):
-        door.answered(1e7 + step, "s", 100.0, 1.0, 0.0, True)
-        door.finished(ident)
-    ended = [held.ask.ident for held, _ in door.overdue(1e7 + step)]
-    released = [held.ask.ident for held in door.release(1e7 + step)]
+        arrive(queue, a_request(number, latest_send_at=1e7 + 2000.0), 1e7)
+    for ident in list(queue.forwarded.by_id):
+        queue.attempt_ended(1e7 + step, "s", 100.0, 1.0, 0.0, True)
+        queue.request_finished(ident)
+    ended = [queued.request.request_id for queued, _ in queue.remove_overdue(1e7 + step)]
+    released = [queued.request.request_id for queued in queue.release(1e7 + step)]
     assert not set(ended) & set(released)
     assert bool(ended) == (step > 0)
     for ident in released:
-        door.finished(ident)
-    door.overdue(1e7 + abs(step) + 2001.0)
-    assert not door.held and not door.inside and not door.waiting and not door.out
+        queue.request_finished(ident)
+    queue.remove_overdue(1e7 + abs(step) + 2001.0)
+    assert (
+        not queue.queued.by_id
+        and not queue.forwarded.by_id
+        and not queue.forwarded.unsent_by_flow
+        and not queue.forwarded.in_flight
+    )
 
 
 @given(st.integers(0, 10_000))
 @settings(max_examples=30, deadline=None)
 def test_whatever_comes_the_bounds_hold_and_each_request_ends_once(seed: int) -> None:
     drawn, now = random.Random(seed), 0.0
-    door = a_door(held_most=20, promises_most=30, waiting_most=3)
+    queue = an_admission_queue(held_most=20, promises_most=30, waiting_most=3)
     ended: set[int] = set()
     for ident in range(400):
         now += drawn.expovariate(0.2)
-        request = ask(
+        request = a_request(
             ident, f"c{drawn.randrange(6)}", drawn.choice([1.0, 3.0, 6.0]),
-            latest=now + drawn.choice([5.0, 300.0]), retry=drawn.random() < 0.3,
-            known=drawn.random() < 0.8, worth=drawn.choice([2.0, 6.0]),
+            latest_send_at=now + drawn.choice([5.0, 300.0]), is_retry=drawn.random() < 0.3,
+            is_known_tenant=drawn.random() < 0.8, priority_weight=drawn.choice([2.0, 6.0]),
         )  # fmt: skip
-        outcome = door.arrive(now, request, drawn.choice([None, QuotaBalance(drawn.uniform(-5, 5), 4.0)]))
-        gone = {ident} if outcome.step is QueueDecision.REJECT else set()
-        gone |= {outcome.displaced.ask.ident} if outcome.displaced else set()
-        gone |= {held.ask.ident for held, _ in door.overdue(now)}
-        for held in door.release(now, drawn.random() < 0.1):
-            assert held.ask.latest >= now
-        for other in [i for i in list(door.inside) if drawn.random() < 0.4]:
-            door.sent(other)
-            door.answered(now, f"s{other % 3}", drawn.uniform(5, 200), 1.0, drawn.choice([0.0, 2.0]), True)
-            door.finished(other)
+        outcome = queue.request_arrived(
+            now, request, drawn.choice([None, QuotaBalance(drawn.uniform(-5, 5), 4.0)])
+        )
+        gone = {ident} if outcome.decision is QueueDecision.REJECT else set()
+        gone |= {outcome.displaced.request.request_id} if outcome.displaced else set()
+        gone |= {queued.request.request_id for queued, _ in queue.remove_overdue(now)}
+        for queued in queue.release(now, drawn.random() < 0.1):
+            assert queued.request.latest_send_at >= now
+        for other in [i for i in list(queue.forwarded.by_id) if drawn.random() < 0.4]:
+            queue.attempt_sent(other)
+            queue.attempt_ended(
+                now, f"s{other % 3}", drawn.uniform(5, 200), 1.0, drawn.choice([0.0, 2.0]), True
+            )
+            queue.request_finished(other)
             gone.add(other)
-        if door.held and drawn.random() < 0.1:
-            left = drawn.choice(list(door.held))
-            assert door.gone(left) and not door.gone(left)
+        if queue.queued.by_id and drawn.random() < 0.1:
+            left = drawn.choice(list(queue.queued.by_id))
+            assert queue.request_cancelled(left) and not queue.request_cancelled(left)
             gone.add(left)
         assert not gone & ended
         ended |= gone
-        assert not set(door.held) & set(door.inside)
-        assert len(door.held) <= 20 and door.ledger.count <= 30
-        assert len(door.latest) <= 2 * len(door.held) + 64
-        assert sum(door.waiting.values()) == sum(not held.sent for held in door.inside.values())
-    for left in list(door.inside):
-        door.finished(left)
-    door.overdue(now + 1e6)
-    door.ledger.expire(now + 1e6)
-    assert not door.held and not door.waiting and not door.out and not door.ledger.by_tenant
+        assert not set(queue.queued.by_id) & set(queue.forwarded.by_id)
+        assert len(queue.queued.by_id) <= 20 and queue.reservations.count <= 30
+        assert len(queue.queued.deadlines) <= 2 * len(queue.queued.by_id) + 64
+        assert sum(queue.forwarded.unsent_by_flow.values()) == sum(
+            not queued.is_sent for queued in queue.forwarded.by_id.values()
+        )
+    for left in list(queue.forwarded.by_id):
+        queue.request_finished(left)
+    queue.remove_overdue(now + 1e6)
+    queue.reservations.expire(now + 1e6)
+    assert (
+        not queue.queued.by_id
+        and not queue.forwarded.unsent_by_flow
+        and not queue.forwarded.in_flight
+        and not queue.reservations.by_tenant
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -47,7 +47,7 @@
     stage.play("client1 send {call(1)}\nbackend expect 0000000000000001")
     stage.play("client2 send {call(2)}\nbackend2 expect 0000000000000002")
     stage.play(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 silent")
-    assert stage.loop.core.door is not None and list(stage.loop.core.door.held) == [3]
+    assert stage.loop.core.door is not None and list(stage.loop.core.door.queued.by_id) == [3]
 
 
 @pytest.mark.parametrize("story", STORIES.values(), ids=STORIES.keys())
@@ -56,7 +56,7 @@
     held_at(stage)
     stage.play(story)
     door = stage.loop.core.door
-    assert door is not None and not door.held and not door.queue.flows
+    assert door is not None and not door.queued.by_id and not door.fair_queue.flows
 
 
 def test_one_that_can_not_be_in_time_any_more_is_refused_then_and_never_sent() -> None:
@@ -92,7 +92,9 @@
     back.run(10_000.0)
     assert all(len(client.answers) == 1 for client in clients)
     door = back.core.door
-    assert door is not None and not (door.held or door.inside or door.waiting or door.out)
+    assert door is not None and not (
+        door.queued.by_id or door.forwarded.by_id or door.forwarded.unsent_by_flow or door.forwarded.in_flight
+    )
     assert not back.core.tickets
 
 
@@ -105,7 +107,7 @@
     keyed: dict[str, Any] = {"kind": 1, "key": "k1", "units": 2.0, "expires_ms": 4000.0}
     first, ticket = ask(back, door=0, **keyed)
     back.run()
-    assert back.core.door is not None and ticket.ident in back.core.door.held
+    assert back.core.door is not None and ticket.ident in back.core.door.queued.by_id
     before = back.core.gateway.customers["ad"].balance
     second, _ = ask(back, door=through - 1, retry=True, **keyed)
     back.run()
@@ -121,7 +123,7 @@
 
     back.core.gateway._charge = counted  # type: ignore
     back.run(3000.0)
-    assert first.answers and second.answers and not door.held
+    assert first.answers and second.answers and not door.queued.by_id
     assert sum(charged) == (2.0 if through == 2 else 4.0)
 
 
@@ -175,7 +177,7 @@
         asked = [asyncio.ensure_future(one()) for _ in range(4)]
         for _ in range(20):
             await asyncio.sleep(0)
-        assert host.core.door is not None and host.core.door.held and len(seen) < 4
+        assert host.core.door is not None and host.core.door.queued.by_id and len(seen) < 4
         for _ in range(100):
             now[0] += 10.0
             host.core.turn()
