--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -1,4 +1,4 @@
-"""The fair door before the decisions: through the fronts, at stop and reload, and its settings."""
+"""The admission queue before the limiter: through the listeners, at stop and reload; its settings."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 SITE_ONE = replace(SITE, has_counter=False)
 
 STORIES = {
-    "one that waits is sent once there is room": """
+    "queued request is sent once there is capacity": """
         backend send {SERVED}
         wait 20
         backend expect 0000000000000003
         backend send {SERVED}
         client3 expect $2\\nok\\n
         """,
-    "one whose client leaves while it waits is never sent": """
+    "request cancelled while queued is never sent": """
         client3 close
         backend send {SERVED}
         backend2 send {SERVED}
@@ -43,7 +43,7 @@
 }
 
 
-def held_at(stage: Stage, wait: int = 7000) -> None:
+def queue_third_request(stage: Stage, wait: int = 7000) -> None:
     stage.play("client1 send {call(1)}\nbackend expect 0000000000000001")
     stage.play("client2 send {call(2)}\nbackend2 expect 0000000000000002")
     stage.play(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 silent")
@@ -51,23 +51,23 @@
 
 
 @pytest.mark.parametrize("story", STORIES.values(), ids=STORIES.keys())
-def test_what_waits_at_the_door(story: str) -> None:
+def test_queued_request_is_forwarded_once_or_never(story: str) -> None:
     stage = Stage(fairness=TWO, has_counter=False)
-    held_at(stage)
+    queue_third_request(stage)
     stage.play(story)
     door = stage.loop.core.door
     assert door is not None and not door.queued.by_id and not door.fair_queue.flows
 
 
-def test_one_that_can_not_be_in_time_any_more_is_refused_then_and_never_sent() -> None:
+def test_overdue_request_is_rejected_and_never_sent() -> None:
     stage = Stage(fairness=TWO, has_counter=False)
-    held_at(stage, wait=400)
+    queue_third_request(stage, wait=400)
     stage.play("wait 300\nclient3 expect -BUSY\nbackend send {SERVED}\nwait 20\nbackend silent")
 
 
-def test_sigterm_finishes_what_waits_at_the_door() -> None:
+def test_sigterm_finishes_queued_requests() -> None:
     stage = Stage(fairness=TWO, has_counter=False)
-    held_at(stage)
+    queue_third_request(stage)
     stage.program.stop()
     stage.wait(750)
     stage.play("backend send {SERVED}\nwait 20\nbackend expect 0000000000000003\nbackend send {SERVED}")
@@ -78,15 +78,15 @@
     assert stage.net.stopped
 
 
-def test_sighup_leaves_what_waits_at_the_door() -> None:
+def test_sighup_leaves_queued_requests() -> None:
     stage = Stage(fairness=TWO, has_counter=False)
-    held_at(stage)
+    queue_third_request(stage)
     stage.reload(director="127.0.0.1:7001", fairness=AdmissionQueueSettings(held_most=1))
     assert [e["at_next_start"] for e in stage.logged if e["event"] == "reloaded"] == [["SCALELB_FAIRNESS"]]
-    stage.play(STORIES["one that waits is sent once there is room"])
+    stage.play(STORIES["queued request is sent once there is capacity"])
 
 
-def test_a_full_core_answers_each_once_whatever_the_door_does() -> None:
+def test_full_core_answers_each_request_once() -> None:
     back = Backside(SITE_ONE, door=replace(ONE, held_most=5))
     clients = [ask(back, customer=f"c{n % 7}")[0] for n in range(300)]
     back.run(10_000.0)
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("through", [1, 2])
-def test_a_keyed_try_that_waited_at_one_door_counts_once_through_the_other(through: int) -> None:
+def test_keyed_request_queued_through_one_listener_is_charged_once_through_another(through: int) -> None:
     back = Backside(SITE_ONE, door=ONE)
     for _ in range(2):
         ask(back)
@@ -127,7 +127,7 @@
     assert sum(charged) == (2.0 if through == 2 else 4.0)
 
 
-def test_admissions_wait_at_the_same_door_and_count_as_out_for_the_usual_time() -> None:
+def test_admissions_are_queued_and_count_as_in_flight_for_the_usual_latency() -> None:
     back = Backside(SITE_ONE, door=ONE)
     clients = [ask(back, admission=True)[0] for _ in range(4)]
     back.run()
@@ -137,7 +137,7 @@
     assert [client.answers[0][0] for client in clients] == [Verdict.ADMITTED] * 4
 
 
-def test_a_cancel_while_held_at_the_door_spends_nothing() -> None:
+def test_request_cancelled_while_queued_spends_nothing() -> None:
     back = Backside(SITE_ONE, door=ONE)
     for _ in range(2):
         ask(back)
@@ -152,7 +152,7 @@
     assert not any(ident == str(ticket.ident) for ident, _ in back.fetched)
 
 
-def test_the_middleware_asks_the_same_door() -> None:
+def test_middleware_uses_the_same_admission_queue() -> None:
     async def story() -> None:
         now = [1e6]
         host = Host(replace(SITE_ONE, limiter_count=3), 1, None, lambda: now[0], door=ONE)
@@ -188,7 +188,7 @@
     asyncio.run(asyncio.wait_for(story(), 30))
 
 
-def test_refusals_for_quota_are_told_times_one_after_another() -> None:
+def test_rejections_for_quota_get_one_retry_after_time_after_another() -> None:
     back = Backside(
         replace(SITE_ONE, max_retry_after_ms=60_000.0), door=AdmissionQueueSettings(plan_rates=(4.0,))
     )
@@ -201,10 +201,10 @@
     assert min(gaps) >= 499.0  # 2 units at 4 a second
 
 
-# What the decisions remember
+# What the limiter remembers
 
 
-def test_customers_beyond_the_most_leave_a_record_and_no_fresh_burst() -> None:
+def test_evicted_tenants_leave_a_record_and_get_no_fresh_burst() -> None:
     d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
     for _ in range(6):  # ada uses all that she has
         d.ask(sharing_limiters=1)
@@ -232,7 +232,7 @@
     return AttemptEnded(send.request_id, 0, send.endpoint, Outcome.OK, 100.0, True)
 
 
-def test_house_keeping_visits_so_many_in_a_turn() -> None:
+def test_housekeeping_visits_are_bounded_per_turn() -> None:
     d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
     for number in range(3 * VISITS):
         d.ask(f"c{number}", units=0.5, sharing_limiters=1)
@@ -263,12 +263,12 @@
         ({"door": 1}, "door: must be an object"),
     ],
 )
-def test_a_faulty_door_is_named_by_its_key(options: dict[str, Any], words: str) -> None:
+def test_faulty_settings_are_named_by_their_key(options: dict[str, Any], words: str) -> None:
     with pytest.raises(ConfigError, match=words):
         read_door(options, SITE, ("basic",))
 
 
-def test_the_door_is_off_unless_it_is_turned_on() -> None:
+def test_admission_queue_is_off_unless_turned_on() -> None:
     assert read_door({}, SITE, ("basic",)) is None
     door = read_door({"door": {"on": True}, "weights": {"basic": 2.0}}, SITE, ("basic",))
     assert door is not None and door.weights == (2.0,) and door.reserve
