--- a/scalelb/admission_queue/retry_after.py
+++ b/scalelb/admission_queue/retry_after.py
@@ -64,15 +64,6 @@
         queue_units = self.fair_queue.queued_units + units
         return min(backlog_units * total_weight / weight, queue_units) / rate_per_ms
 
-    def _flow_rate_per_s(self, now: float, request: AdmissionRequest, flow: str) -> float:
-        return self.throughput.flow_rate_per_s(
-            now,
-            flow,
-            flow_weight(self.settings, flow, request),
-            self.fair_queue.total_weight,
-            self.concurrency_limit.limit,
-        )
-
     def reserve(self, now: float, request: AdmissionRequest, flow: str, quota: QuotaBalance | None) -> float:
         """Reserve for a rejected request: once the quota covers it and what is queued before it is served.
         Returns its Retry-After in milliseconds."""
@@ -99,3 +90,13 @@
             self.fair_queue.virtual_time,
         )
         return retry_after_ms
+
+    def _flow_rate_per_s(self, now: float, request: AdmissionRequest, flow: str) -> float:
+        """Units a second that a request's flow may expect."""
+        return self.throughput.flow_rate_per_s(
+            now,
+            flow,
+            flow_weight(self.settings, flow, request),
+            self.fair_queue.total_weight,
+            self.concurrency_limit.limit,
+        )
--- a/scalelb/admission_queue/settings.py
+++ b/scalelb/admission_queue/settings.py
@@ -1,4 +1,4 @@
-"""The admission queue's settings.  `scalelb.program.config.read_door` reads them from the deploy file."""
+"""The admission queue's settings, as `scalelb.program.config.read_admission_queue` reads them."""
 
 from __future__ import annotations
 
--- a/scalelb/lab/experiment.py
+++ b/scalelb/lab/experiment.py
@@ -16,7 +16,7 @@
 from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.lab.traffic import Arrival, Clients, EveningError, Tenant, draw, read_evening
 from scalelb.policy.settings import Settings
-from scalelb.program.config import ConfigError, Node, read_door, read_settings
+from scalelb.program.config import ConfigError, Node, read_admission_queue, read_settings
 
 SECONDS_MOST, SERVERS_MOST, LIMITERS_MOST, VARIANTS_MOST = 3600, 500, 50, 64
 ARRIVALS_MOST = 2_000_000
@@ -115,7 +115,7 @@
 
     def door_settings(self, variant: Variant) -> AdmissionQueueSettings | None:
         """The door, read as the program reads it."""
-        return read_door(self.door_object(variant), self.settings(variant), tuple(self.plans))
+        return read_admission_queue(self.door_object(variant), self.settings(variant), tuple(self.plans))
 
     def door_object(self, variant: Variant) -> dict[str, Any]:
         """The door's file for a variant."""
--- a/scalelb/program/config.py
+++ b/scalelb/program/config.py
@@ -218,7 +218,7 @@
     requests_most: int
     fronts: Fronts = field(default_factory=Fronts)
     memory_mb: float = 192.0
-    fairness: AdmissionQueueSettings | None = None  # none: no door before the decisions
+    fairness: AdmissionQueueSettings | None = None  # none: no admission queue
     admin: str = ""  # where staff calls; empty: nowhere
     inherited: int | None = None  # the descriptor of the clients' socket, where the platform holds it
     peers: PeerSettings | None = None  # none: no links to other limiters
@@ -352,8 +352,10 @@
         raise ConfigError(f"EDGE_CONFIG: {path}: not JSON: {error}") from None
 
 
-def read_door(options: Any, settings: Settings, plans: tuple[str, ...]) -> AdmissionQueueSettings | None:
-    """Check what a fair door is told (`deploy/fairness.toml` has the keys); nothing where it is off.
+def read_admission_queue(
+    options: Any, settings: Settings, plans: tuple[str, ...]
+) -> AdmissionQueueSettings | None:
+    """Check the admission queue's settings (keys as in `deploy/fairness.toml`); nothing where it is off.
 
     An API call as well: `options` is the same object that the file holds.
     """
@@ -406,11 +408,11 @@
 def read_fairness(
     environment: Mapping[str, str], settings: Settings, plans: tuple[str, ...]
 ) -> AdmissionQueueSettings | None:
-    """Read the fair door's file; without one there is no door."""
+    """Read the admission queue's file; without one there is no admission queue."""
     path = Path(environment.get("SCALELB_FAIRNESS", "") or FAIRNESS)
     if not path.exists() and "SCALELB_FAIRNESS" not in environment:
         return None
-    return read_door(_load_toml(path, "SCALELB_FAIRNESS"), settings, plans)
+    return read_admission_queue(_load_toml(path, "SCALELB_FAIRNESS"), settings, plans)
 
 
 def read_link(options: Any, name: str) -> PeerSettings | None:
--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -16,7 +16,7 @@
 
 from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.middleware import Host, LimiterMiddleware
-from scalelb.program.config import ConfigError, read_door
+from scalelb.program.config import ConfigError, read_admission_queue
 from scalelb.routing.control import HOT_MOST, VISITS
 from scalelb.routing.core import Verdict
 
@@ -265,10 +265,10 @@
 )
 def test_faulty_settings_are_named_by_their_key(options: dict[str, Any], words: str) -> None:
     with pytest.raises(ConfigError, match=words):
-        read_door(options, SITE, ("basic",))
+        read_admission_queue(options, SITE, ("basic",))
 
 
 def test_admission_queue_is_off_unless_turned_on() -> None:
-    assert read_door({}, SITE, ("basic",)) is None
-    door = read_door({"door": {"on": True}, "weights": {"basic": 2.0}}, SITE, ("basic",))
+    assert read_admission_queue({}, SITE, ("basic",)) is None
+    door = read_admission_queue({"door": {"on": True}, "weights": {"basic": 2.0}}, SITE, ("basic",))
     assert door is not None and door.weights == (2.0,) and door.reserve
