--- a/scalelb/policy/limiter.py
+++ b/scalelb/policy/limiter.py
@@ -14,7 +14,7 @@
 from math import inf
 from typing import Any
 
-from scalelb.fairness.records import Records
+from scalelb.admission_queue.tenant_records import TenantRecords
 from scalelb.policy import retry, shared_counter
 from scalelb.policy.actions import (
     Action,
@@ -93,7 +93,7 @@
             self.estimates, self.shedder, concurrency, self.retries.budget, self.selector
         )
         self.scheduler = Scheduler()
-        records = Records(random.Random(f"records {seed}").randbytes(16))
+        records = TenantRecords(random.Random(f"records {seed}").randbytes(16))
         self.tenants = TenantTable(settings, records)
         self.housekeeper = Housekeeper(self.outbox, self.tenants, self.leases, self.scheduler, rng)
         self.handlers: dict[type, Callable[[float, Any], None]] = {
--- a/scalelb/policy/tenant_table.py
+++ b/scalelb/policy/tenant_table.py
@@ -4,7 +4,7 @@
 
 from itertools import islice
 
-from scalelb.fairness.records import Records
+from scalelb.admission_queue.tenant_records import TenantRecords
 from scalelb.policy import shared_counter
 from scalelb.policy.events import RequestArrived
 from scalelb.policy.settings import Settings
@@ -17,7 +17,7 @@
 class TenantTable:
     """Tenants by name; the one that was seen last stands last."""
 
-    def __init__(self, settings: Settings, records: Records) -> None:
+    def __init__(self, settings: Settings, records: TenantRecords) -> None:
         self.settings = settings
         self.records = records
         self.tenants: dict[str, Tenant] = {}
@@ -41,7 +41,7 @@
             bucket.plan, bucket.sharing_limiters, self.settings
         )
         self.tenants[event.tenant] = tenant
-        if now >= self.records.given_way_until:
+        if now >= self.records.unknown_start_empty_until:
             bucket.counter_balance = bucket.capacity()
         if not bucket.is_shared:
             bucket.balance = bucket.counter_balance / bucket.sharing_limiters
@@ -65,4 +65,4 @@
 
     def knows(self, name: str) -> bool:
         """Whether a tenant was seen lately."""
-        return name in self.tenants or self.records.knows(name)
+        return name in self.tenants or self.records.has_record(name)
--- a/scalelb/policy/token_bucket.py
+++ b/scalelb/policy/token_bucket.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from scalelb.fairness.records import Record
+from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.policy.settings import Plan
 
 RESERVE_REQUESTS = 1.0  # mean requests of each limiter that are never leased: they cover its overdraft
@@ -167,7 +167,7 @@
 
     # Records
 
-    def to_record(self, now: float, is_counter_available: bool) -> Record:
+    def to_record(self, now: float, is_counter_available: bool) -> TenantRecord:
         """Return what is kept of the bucket after its tenant is evicted.
 
         It is full again once the rate has covered what is missing, by the counter's last answer and by what
@@ -184,19 +184,19 @@
         if plan.ceiling_rate_per_s:
             missing_ceiling = plan.ceiling_burst - self.ceiling_balance * self.sharing_limiters
             full_at = max(full_at, now + 1000 * max(0.0, missing_ceiling) / plan.ceiling_rate_per_s)
-        return Record(
+        return TenantRecord(
             self.on_hand(), self.unreported, left, self.counter_total, self.counter_window, now, full_at
         )
 
-    def restore(self, record: Record) -> None:
+    def restore(self, record: TenantRecord) -> None:
         """Go on where a record ends.  It may be another limiter's copy, and no bucket holds more than its
         burst."""
         self.balance = min(record.balance, self.plan.burst) if self.plan.rate_per_s else record.balance
-        self.unreported = record.unreported
-        self.counter_balance = record.store
-        self.counter_total = record.total
-        self.counter_window = record.window
-        self.counter_balance_at = record.at
-        self.credited_at = record.at
-        self.ceiling_credited_at = record.at
+        self.unreported = record.unreported_units
+        self.counter_balance = record.shared_balance
+        self.counter_total = record.counter_total
+        self.counter_window = record.counter_window
+        self.counter_balance_at = record.evicted_at
+        self.credited_at = record.evicted_at
+        self.ceiling_credited_at = record.evicted_at
         self.ceiling_balance = 0.0
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -153,7 +153,7 @@
         now, limiter = self.loop.clock(), self.loop.core.limiter
         taken, faulty = take_handover(limiter, account, now) if account else (0, 0)
         if account is None and lives:  # guards the quotas: nobody gets a fresh share beside the old one's
-            limiter.tenants.records.given_way_until = now + 1000 * OVERLAP_S
+            limiter.tenants.records.unknown_start_empty_until = now + 1000 * OVERLAP_S
         self.accept()
         self.log("taken over", lives=lives, told=account is not None, entries=taken, faulty=faulty)
         self.alone()
@@ -323,7 +323,7 @@
             let_in=round(limiter.shedder.admission_probability, 3),
             usual_ms=round(limiter.estimates.latency_ms, 1),
             counts=dict(sorted(tally.items())),
-            **(core.door.told() if core.door is not None else {}),
+            **(core.door.log_fields() if core.door is not None else {}),
             **(self.links.told() if self.links is not None else {}),
             **({"admin": {str(s): n for s, n in self.admin.calls.items()}} if self.admin is not None else {}),
         )
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -24,7 +24,7 @@
 from typing import Any
 from zlib import crc32
 
-from scalelb.fairness.records import Record
+from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.peers import Life, Mesh
 from scalelb.policy import outlier_detection
 from scalelb.policy.handover import leave_handover
@@ -85,7 +85,7 @@
         self.tries = Tries(core, clock, self.write, flush)
         mesh.on_settled, mesh.on_closed, mesh.on_entry = self.settled, self.closed, self.entered
         # Until it has settled nobody gets a fresh share: a former life may have granted it.
-        core.limiter.tenants.records.given_way_until = inf
+        core.limiter.tenants.records.unknown_start_empty_until = inf
 
     def write(self, key: str, value: Any) -> None:
         """An own entry, or its end."""
@@ -136,9 +136,13 @@
             return
         self.published.pop(c.name, None)
         self.published[c.name] = record.full_at
-        numbers = [record.balance, record.unreported, record.store, record.total]
+        numbers = [record.balance, record.unreported_units, record.shared_balance, record.counter_total]
         told = [round(number, 3) for number in numbers]
-        self.mesh.write("u:" + c.name, [*told, record.window, round(record.at), round(record.full_at)], now)
+        self.mesh.write(
+            "u:" + c.name,
+            [*told, record.counter_window, round(record.evicted_at), round(record.full_at)],
+            now,
+        )
 
     def _publish_backends(self, at: float, now: float) -> None:
         limiter = self.core.limiter
@@ -193,15 +197,17 @@
             for key, value in self.mesh.replica.chains[life].live():
                 if key[:2] == "u:" and (record := read_account(value, now)) is not None:
                     self.close_at = max(self.close_at, min(record.full_at, now + CLOSE_MS))
-                    name, old = key[2:], records.left.get(key[2:])
-                    if name not in self.core.limiter.tenants.tenants and (old is None or old.at <= record.at):
-                        records.left[name] = record
+                    name, old = key[2:], records.inherited.get(key[2:])
+                    if name not in self.core.limiter.tenants.tenants and (
+                        old is None or old.evicted_at <= record.evicted_at
+                    ):
+                        records.inherited[name] = record
                         taken += 1
                 elif key[:2] == "x:":
                     self.entered(life, key, value)
                 elif key[:2] == KEYED:
                     self.close_at = max(self.close_at, now + FAR_MS)
-        records.given_way_until = 0.0
+        records.unknown_start_empty_until = 0.0
         self.log("recalled", accounts=taken, lives=len(self.mesh.former()))
 
     def closed(self) -> None:
@@ -285,7 +291,7 @@
         }
 
 
-def read_account(value: Any, now: float) -> Record | None:
+def read_account(value: Any, now: float) -> TenantRecord | None:
     """An account as a former life published it; None where it can't be one.  Nothing in it lets more be
     granted than a store holds: who reads it bounds it by the plan."""
     if not isinstance(value, list) or len(value) != 7:
@@ -297,7 +303,7 @@
         return None
     if not 0 <= at <= now + 60_000.0 or not abs(total) <= 1e15 or full_at <= now:
         return None
-    return Record(
+    return TenantRecord(
         float(balance), float(unreported), float(store), float(total), int(window), min(float(at), now),
         min(float(full_at), now + 600_000.0),
     )  # fmt: skip
--- a/scalelb/routing/core.py
+++ b/scalelb/routing/core.py
@@ -14,7 +14,13 @@
 from math import inf, isfinite
 from typing import Any, Protocol
 
-from scalelb.fairness import Ask, Credit, DoorSettings, FairDoor, Step
+from scalelb.admission_queue import (
+    AdmissionQueue,
+    AdmissionQueueSettings,
+    AdmissionRequest,
+    QueueDecision,
+    QuotaBalance,
+)
 from scalelb.policy.actions import (
     Action,
     AddToCounter,
@@ -147,13 +153,13 @@
         clock: Callable[[], float],
         limits: Limits = Limits(),
         fault: Callable[[Exception], None] = lambda error: None,
-        door: DoorSettings | None = None,
+        door: AdmissionQueueSettings | None = None,
     ) -> None:
         self.fault = fault
         self.settings, self.ports, self.clock, self.limits = settings, ports, clock, limits
         self.limiter = Limiter(settings, seed)
         most = settings.max_retry_after_ms if settings.sends_retry_after else 1.0
-        self.door = FairDoor(door, most) if door is not None else None
+        self.door = AdmissionQueue(door, most) if door is not None else None
         self.replicas: Replicas | None = None  # none: no links to other limiters
         self.looks_at = inf  # when the door is looked at next
         self.inbox: list[Event] = [Started()]
@@ -334,31 +340,31 @@
             self._note("fault")
             self.fault(error)
 
-    def _decide_fairly(self, door: FairDoor, events: list[Event], now: float) -> None:
+    def _decide_fairly(self, door: AdmissionQueue, events: list[Event], now: float) -> None:
         """What ended comes first, then who waits, in the door's order, then who arrives."""
         arrivals = [event for event in events if isinstance(event, RequestArrived)]
         self._decide([event for event in events if not isinstance(event, RequestArrived)], now)
-        for held, advice in door.overdue(now):
-            self._turn_away(held.ask.ident, advice)
+        for held, advice in door.remove_overdue(now):
+            self._turn_away(held.request.request_id, advice)
         self._release(door, now)
         for event in arrivals:
             self._let_in(door, event, now)
         self._release(door, now)
-        if (at := door.wakes_at()) < inf and not now < self.looks_at <= at:
+        if (at := door.next_wakeup_at()) < inf and not now < self.looks_at <= at:
             self.looks_at = at
             self._timer(at, 0, LOOK)
 
-    def _release(self, door: FairDoor, now: float) -> None:
+    def _release(self, door: AdmissionQueue, now: float) -> None:
         while released := door.release(now, self.limiter.sender.has_no_capacity):  # ends: the door empties
             events: list[Event] = []
             for held in released:
-                waited = now - held.since
-                event: RequestArrived = held.item
+                waited = now - held.arrived_at
+                event: RequestArrived = held.payload
                 left = event.expires_in_ms - waited
                 events.append(replace(event, queued_ms=waited, expires_in_ms=left))
             self._decide(events, now)
 
-    def _let_in(self, door: FairDoor, event: RequestArrived, now: float) -> None:
+    def _let_in(self, door: AdmissionQueue, event: RequestArrived, now: float) -> None:
         """Ask the door about one that arrives; it may give another's place to it."""
         kind, limiter = self.settings.request_classes[event.class_index], self.limiter
         ticket = self.tickets.get(event.request_id)
@@ -366,36 +372,36 @@
             return
         due = now + min(kind.latency_objective_ms, event.expires_in_ms)
         credit = self._credit(event.tenant, now)
-        ask = Ask(
-            ident=event.request_id,
-            customer=event.tenant,
-            plan=event.plan_index,
+        ask = AdmissionRequest(
+            request_id=event.request_id,
+            tenant=event.tenant,
+            plan_index=event.plan_index,
             units=event.units,
-            latest=due - limiter.queue_times.needed_time_ms(kind),
-            worth=kind.priority_weight,
-            retry=event.is_retry,
+            latest_send_at=due - limiter.queue_times.needed_time_ms(kind),
+            priority_weight=kind.priority_weight,
+            is_retry=event.is_retry,
             client=ticket.client,
-            known=limiter.tenants.knows(event.tenant),
-            free=limiter.charged_keys.is_charged_elsewhere(
+            is_known_tenant=limiter.tenants.knows(event.tenant),
+            is_already_charged=limiter.charged_keys.is_charged_elsewhere(
                 event.tenant, event.idempotency_key, 1 << event.listener, now
             ),
         )
         ticket.size = limiter.estimates.relative_size(event.units)
-        step, advice, displaced = door.arrive(now, ask, credit, event)
+        step, advice, displaced = door.request_arrived(now, ask, credit, event)
         if displaced is not None:
-            self._turn_away(displaced.ask.ident, advice)
-        if step is Step.PASS:
+            self._turn_away(displaced.request.request_id, advice)
+        if step is QueueDecision.FORWARD:
             self._decide([event], now)
-        elif step is Step.REFUSE:
+        elif step is QueueDecision.REJECT:
             self._turn_away(event.request_id, advice)
 
-    def _credit(self, customer: str, now: float) -> Credit | None:
+    def _credit(self, customer: str, now: float) -> QuotaBalance | None:
         told = self.limiter.available_units(customer, now)
-        return Credit(*told) if told is not None else None
+        return QuotaBalance(*told) if told is not None else None
 
     def _left(self, ticket: Ticket) -> None:
         """Whoever has the request, door or decisions, lets go of it."""
-        if self.door is None or not self.door.gone(ticket.ident):
+        if self.door is None or not self.door.request_cancelled(ticket.ident):
             self.inbox.append(RequestCancelled(ticket.ident))
 
     def _turn_away(self, ident: int, advice: float) -> None:
@@ -449,7 +455,7 @@
             self._send(action, now)
         elif isinstance(action, AdmitRequest):
             if self.door is not None:
-                self.door.admitted(now, action.request_id, self.limiter.estimates.latency_ms)
+                self.door.request_admitted(now, action.request_id, self.limiter.estimates.latency_ms)
             self._final(action.request_id, Verdict.ADMITTED)
         elif isinstance(action, RejectRequest):
             self._final(action.request_id, Verdict.REFUSED, self._advice(action, now))
@@ -469,11 +475,11 @@
         if (
             self.door is None
             or not self.settings.sends_retry_after
-            or action.request_id not in self.door.inside
+            or action.request_id not in self.door.forwarded.by_id
         ):
             return action.retry_after_ms
-        credit = self._credit(self.door.inside[action.request_id].ask.customer, now)
-        return self.door.refused(now, action.request_id, credit, action.retry_after_ms)
+        credit = self._credit(self.door.forwarded.by_id[action.request_id].request.tenant, now)
+        return self.door.request_rejected(now, action.request_id, credit, action.retry_after_ms)
 
     def _send(self, action: SendAttempt, now: float) -> None:
         ticket = self.tickets.get(action.request_id)
@@ -496,7 +502,7 @@
         if self.replicas is not None and (request := self.limiter.requests.get(ticket.ident)) is not None:
             self.replicas.sends(request)  # before it is sent: whoever dies in between has sent nothing
         if self.door is not None:
-            self.door.sent(ticket.ident)
+            self.door.attempt_sent(ticket.ident)
             server = self.limiter.selector.endpoints.get(action.endpoint)
             own = 2.0 * ticket.size - 1.0
             ticket.load = server.load_in_flight - own if server is not None else 0.0
@@ -520,7 +526,7 @@
         elapsed, ticket.first = (ticket.first or self.clock()) - ticket.sent, 0.0
         if self.door is not None and outcome in LOAD_SIGNALS:
             good = outcome is Outcome.OK
-            self.door.answered(self.clock(), ticket.server, elapsed, ticket.size, ticket.load, good)
+            self.door.attempt_ended(self.clock(), ticket.server, elapsed, ticket.size, ticket.load, good)
         self.inbox.append(
             AttemptEnded(
                 ticket.ident,
@@ -554,7 +560,7 @@
         """The request is finished; its ticket stays while an attempt is out."""
         ticket.done = True
         if self.door is not None:
-            self.door.finished(ticket.ident)
+            self.door.request_finished(ticket.ident)
         if not ticket.out:
             self.tickets.pop(ticket.ident, None)
 
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -23,8 +23,8 @@
 from driver import SAFE, SETTINGS, UNSAFE, Driver, servers
 from scenario import Net, Wire
 
+from scalelb.admission_queue.tenant_records import TenantRecord, TenantRecords
 from scalelb.agreement import Learner, Proposer, Times, Voter
-from scalelb.fairness.records import Record, Records
 from scalelb.peers import Mesh, MeshSettings
 from scalelb.peers.chain import TOMB_MS
 from scalelb.policy.endpoints import Endpoint, EndpointState
@@ -167,8 +167,8 @@
 
 def rewrite_account(limiter: Limiter) -> dict[str, Any]:
     """The account from what was read.  `leave_handover` leaves out tenants that have not come yet."""
-    tenants = {name: list(record) for name, record in limiter.tenants.records.left.items()}
-    without_share_until = limiter.tenants.records.given_way_until
+    tenants = {name: list(record) for name, record in limiter.tenants.records.inherited.items()}
+    without_share_until = limiter.tenants.records.unknown_start_empty_until
     account = leave_handover(limiter, NOW_MS)
     return account | {"given_way_until": without_share_until, "customers": tenants}
 
@@ -187,7 +187,7 @@
     }
 
 
-def read_tenant(limiter: Limiter, name: str) -> Record | None:
+def read_tenant(limiter: Limiter, name: str) -> TenantRecord | None:
     """What a successor is given of a tenant that comes now."""
     return limiter.tenants.records.take(name, NOW_MS)
 
@@ -201,14 +201,14 @@
 
 RECORDS_KEY = bytes(range(16))
 RECORDS = {
-    "ada": Record(1.5, 0.25, 12.0, 40.0, 56_666, NOW_MS - 500.0, NOW_MS + 30_000.0),
-    "grace": Record(-2.0, 3.5, -1.25, 7.0, -1, NOW_MS - 20.0, NOW_MS + 4000.0),
-    "zoë": Record(0.0, 0.0, 0.5, 0.0, 2**31 - 1, NOW_MS, NOW_MS + 600_000.0),
+    "ada": TenantRecord(1.5, 0.25, 12.0, 40.0, 56_666, NOW_MS - 500.0, NOW_MS + 30_000.0),
+    "grace": TenantRecord(-2.0, 3.5, -1.25, 7.0, -1, NOW_MS - 20.0, NOW_MS + 4000.0),
+    "zoë": TenantRecord(0.0, 0.0, 0.5, 0.0, 2**31 - 1, NOW_MS, NOW_MS + 600_000.0),
 }
 
 
-def empty_records() -> Records:
-    return Records(RECORDS_KEY, bits=2, tables=1)
+def empty_records() -> TenantRecords:
+    return TenantRecords(RECORDS_KEY, bits=2, max_tables=1)
 
 
 def write_records() -> bytes:
@@ -219,12 +219,18 @@
     return rewrite_records(records)
 
 
-def columns(records: Records) -> list[Any]:
+def columns(records: TenantRecords) -> list[Any]:
     table = records.tables[0]
-    return [table.names, table.at, table.full_at, table.windows, *table.numbers]
+    return [
+        table.name_hashes,
+        table.evicted_ticks,
+        table.full_ticks,
+        table.counter_windows,
+        *table.amounts,
+    ]
 
 
-def read_records(data: bytes) -> Records:
+def read_records(data: bytes) -> TenantRecords:
     """Records whose only table has these columns."""
     records = empty_records()
     records.put("overwritten", RECORDS["ada"], NOW_MS)  # makes the table
@@ -234,11 +240,11 @@
         column[:] = type(column)(column.typecode, data[begins:ends])
         begins = ends
     assert begins == len(data)
-    records.tables[0].count = sum(name != 0 for name in records.tables[0].names)
+    records.tables[0].count = sum(name != 0 for name in records.tables[0].name_hashes)
     return records
 
 
-def rewrite_records(records: Records) -> bytes:
+def rewrite_records(records: TenantRecords) -> bytes:
     return b"".join(column.tobytes() for column in columns(records))
 
 
@@ -461,9 +467,9 @@
         """What peers say of endpoints."""
         return set(self.peering.said)
 
-    def read_accounts(self) -> dict[str, Record]:
+    def read_accounts(self) -> dict[str, TenantRecord]:
         """What this limiter's former lives have left of tenants."""
-        return self.core.limiter.tenants.records.left
+        return self.core.limiter.tenants.records.inherited
 
     def read_digest(self) -> str:
         """What is held, as the log tells it: operators compare it between limiters."""
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -14,19 +14,19 @@
 SOURCES = sorted((ROOT / "scalelb").rglob("*.py"))
 # fmt: off
 MAY_USE = {
-    "fairness": {"fairness"},
+    "admission_queue": {"admission_queue"},
     "agreement": {"agreement"},
-    "policy": {"fairness", "policy"},
-    "routing": {"fairness", "policy", "routing"},
+    "policy": {"admission_queue", "policy"},
+    "routing": {"admission_queue", "policy", "routing"},
     "protocol": {"protocol"},
     "transport": {"policy", "routing", "protocol", "transport"},
-    "middleware": {"fairness", "policy", "routing", "protocol", "middleware"},
+    "middleware": {"admission_queue", "policy", "routing", "protocol", "middleware"},
     "peers": {"peers"},
     "program": {
-        "agreement", "fairness", "peers", "policy", "routing", "protocol", "transport", "program",
+        "agreement", "admission_queue", "peers", "policy", "routing", "protocol", "transport", "program",
     },
     "lab": {
-        "agreement", "fairness", "peers", "policy", "routing", "protocol", "transport", "program",
+        "agreement", "admission_queue", "peers", "policy", "routing", "protocol", "transport", "program",
         "lab",
     },
     "__main__": {"lab"},
@@ -35,7 +35,7 @@
 }
 # fmt: on
 FOREIGN = {
-    "fairness": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
+    "admission_queue": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "policy": {"twisted", "socket", "grpc", "httptools", "orjson", "time"},
     "routing": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "protocol": {"twisted", "socket"},
@@ -43,6 +43,9 @@
     "peers": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
 }
 
+# Policy modules that decide without chance: what they decide follows from their arguments alone.
+NO_CHANCE = ("concurrency_limit", "counter_contention", "retry_budget", "subsetting")
+
 
 def imported(path: Path) -> set[str]:
     found = set()
@@ -66,6 +69,11 @@
         assert parts[0] not in FOREIGN.get(layer, set()), name
 
 
+@pytest.mark.parametrize("module", NO_CHANCE)
+def test_module_draws_no_random_numbers(module: str) -> None:
+    assert "random" not in imported(ROOT / "scalelb" / "policy" / f"{module}.py")
+
+
 def test_the_program_does_without_the_extras_until_they_are_configured() -> None:
     extras = (
         "grpc google.protobuf starlette numpy pyarrow click scalelb.lab scalelb.peers scalelb.agreement "
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -525,14 +525,14 @@
         for c in old.core.limiter.tenants.tenants.values()
         if not c.bucket.is_shared
     )
-    assert old.core.limiter.tenants.records.given_way_until == float("inf")
+    assert old.core.limiter.tenants.records.unknown_start_empty_until == float("inf")
 
 
 @settings(max_examples=40)
 @given(st.lists(st.one_of(st.floats(allow_nan=True), st.integers(), st.booleans(), st.text()), max_size=8))
 def test_an_account_that_can_not_be_is_none(value: list[Any]) -> None:
     record = read_account(value, 1e12)
-    assert record is None or (abs(record.balance) <= 1e9 and record.at <= 1e12)
+    assert record is None or (abs(record.balance) <= 1e9 and record.evicted_at <= 1e12)
 
 
 def test_a_forged_account_of_a_former_life_hands_out_a_burst_at_most() -> None:
@@ -543,7 +543,7 @@
     found.kill(1, 10.0)
     found.run(found.now + 2500)
     new: Any = found.limiters[1]
-    assert f"{7:016x}" in new.core.limiter.tenants.records.left
+    assert f"{7:016x}" in new.core.limiter.tenants.records.inherited
     found.load([Arrival(found.now + 10, "x", 7, 0, 0, 1.0, 1)])
     found.run(found.now + 50)
     assert new.core.limiter.tenants.tenants[f"{7:016x}"].bucket.balance <= PLAN.burst
