--- a/scalelb/program/account_replication.py
+++ b/scalelb/program/account_replication.py
@@ -14,9 +14,9 @@
 from math import inf, isfinite
 from typing import Any
 
-from scalelb.fairness.records import Record
+from scalelb.admission_queue.tenant_records import TenantRecord
+from scalelb.policy.tenant import Tenant
 from scalelb.routing.core import Core
-from scalelb.routing.state import Customer
 
 ACCOUNT_PREFIX = "u:"
 MAX_PUBLISHED_ACCOUNTS = 100_000  # at once
@@ -41,26 +41,27 @@
 
     def publish(self, now: float) -> None:
         """Publish the accounts that have changed, and withdraw some of those whose buckets are full again."""
-        gateway = self.core.gateway
+        limiter = self.core.limiter
         since = self.published_at
         self.published_at = now
-        for tenant in reversed(gateway.customers.values()):
-            if tenant.seen < since:
+        for tenant in reversed(limiter.tenants.tenants.values()):
+            if tenant.last_request_at < since:
                 break  # the tenants are in the order in which they were last seen
             self._publish(tenant, now)
-        for tenant in list(gateway.active.values()):
-            if tenant.seen < since:
+        for tenant in list(limiter.scheduler.active.values()):
+            if tenant.last_request_at < since:
                 self._publish(tenant, now)
         checked = islice(self.full_at.items(), EXPIRY_CHECKS_PER_TICK)
         for name in [name for name, full_at in checked if full_at <= now]:
             del self.full_at[name]
             self.write(ACCOUNT_PREFIX + name, None)
 
-    def _publish(self, tenant: Customer, now: float) -> None:
-        if not tenant.plan.rate_per_s and not tenant.plan.ceiling_rate_per_s:
+    def _publish(self, tenant: Tenant, now: float) -> None:
+        plan = tenant.bucket.plan
+        if not plan.rate_per_s and not plan.ceiling_rate_per_s:
             return
         is_published = tenant.name in self.full_at
-        record = tenant.record(now, self.core.gateway.backoff > 0)
+        record = tenant.bucket.to_record(now, self.core.limiter.leases.is_counter_available())
         if record.full_at <= now and not is_published:
             return
         if len(self.full_at) >= MAX_PUBLISHED_ACCOUNTS and not is_published:
@@ -69,25 +70,26 @@
         self.full_at[tenant.name] = record.full_at
         self.write(ACCOUNT_PREFIX + tenant.name, encode_account(record))
 
-    def recover(self, name: str, record: Record) -> bool:
+    def recover(self, name: str, record: TenantRecord) -> bool:
         """Take over what an earlier incarnation published of a tenant; False where something newer is
         known."""
-        gateway = self.core.gateway
-        known = gateway.records.left.get(name)
-        if name in gateway.customers or (known is not None and known.at > record.at):
+        tenants = self.core.limiter.tenants
+        known = tenants.records.inherited.get(name)
+        is_older = known is not None and known.evicted_at > record.evicted_at
+        if name in tenants.tenants or is_older:
             return False
-        gateway.records.left[name] = record
+        tenants.records.inherited[name] = record
         return True
 
 
-def encode_account(record: Record) -> list[float]:
+def encode_account(record: TenantRecord) -> list[float]:
     """The value of an account's entry."""
-    amounts = [record.balance, record.unreported, record.store, record.total]
+    amounts = [record.balance, record.unreported_units, record.shared_balance, record.counter_total]
     rounded = [round(amount, 3) for amount in amounts]
-    return [*rounded, record.window, round(record.at), round(record.full_at)]
+    return [*rounded, record.counter_window, round(record.evicted_at), round(record.full_at)]
 
 
-def decode_account(value: Any, now: float) -> Record | None:
+def decode_account(value: Any, now: float) -> TenantRecord | None:
     """An account as an earlier incarnation published it; None where it can't be one.  Nothing in it lets more
     be granted than a bucket holds: whoever reads it bounds it by the plan."""
     if not isinstance(value, list) or len(value) != 7:
@@ -101,12 +103,12 @@
         return None
     if not 0 <= at <= now + MAX_CLOCK_LEAD_MS or full_at <= now:
         return None
-    return Record(
+    return TenantRecord(
         balance=float(balance),
-        unreported=float(unreported),
-        store=float(store),
-        total=float(total),
-        window=int(window),
-        at=min(float(at), now),
+        unreported_units=float(unreported),
+        shared_balance=float(store),
+        counter_total=float(total),
+        counter_window=int(window),
+        evicted_at=min(float(at), now),
         full_at=min(float(full_at), now + MAX_FILL_MS),
     )
--- a/scalelb/program/endpoint_reports.py
+++ b/scalelb/program/endpoint_reports.py
@@ -13,15 +13,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from math import exp
 from typing import Any
 
+from scalelb.policy.idempotency_keys import preferred_groups
+from scalelb.policy.outlier_detection import TrackedEndpoint, fault_memory_ms
 from scalelb.replication import Entry, Incarnation, Replicator
-from scalelb.routing import health
 from scalelb.routing.bans import Bans
 from scalelb.routing.core import Core
-from scalelb.routing.keys import homes
-from scalelb.routing.state import Server
 
 FAULTY_PREFIX = "b:"
 RECOVERED_PREFIX = "t:"
@@ -77,31 +75,34 @@
         self.last_listed = listed
 
     def _publish_outcomes(self, now: float, own_entries: dict[str, Entry]) -> None:
-        gateway = self.core.gateway
-        decay_ms = health.memory(gateway.gap, len(gateway.servers))
-        for name, server in gateway.servers.items():
+        limiter = self.core.limiter
+        endpoints = limiter.selector.endpoints
+        interval_ms = limiter.estimates.answer_interval_ms
+        decay_ms = fault_memory_ms(interval_ms, len(endpoints))
+        for name, endpoint in endpoints.items():
             key = FAULTY_PREFIX + name
             was_faulty = key in own_entries and own_entries[key].value is not None
-            failed_ratio = server.failing * exp((server.marked - now) / decay_ms)
-            is_faulty = failed_ratio > FAULTY_RATIO and server.heard >= MIN_OUTCOMES
+            failure_ratio = endpoint.current_failure_ratio(now, decay_ms)
+            is_faulty = failure_ratio > FAULTY_RATIO and endpoint.answer_weight >= MIN_OUTCOMES
             # Without this line the report would fade while one member probes, and all would find it out anew.
-            if was_faulty and self._is_being_probed(name, server):
+            if was_faulty and self._is_being_probed(name, endpoint):
                 is_faulty = True
             if is_faulty != was_faulty:
-                self.write(key, [round(server.info.started_at)] if is_faulty else None)
+                self.write(key, [round(endpoint.endpoint.started_at)] if is_faulty else None)
             is_prober = self.probers.get(name) == self.replicator.incarnation.name
-            if is_prober and server.goods >= SUCCESSES_TO_RECOVER:
+            if is_prober and endpoint.consecutive_successes >= SUCCESSES_TO_RECOVER:
                 self.recovered_at[name] = now
-                self.write(RECOVERED_PREFIX + name, [round(server.info.started_at)])
+                self.write(RECOVERED_PREFIX + name, [round(endpoint.endpoint.started_at)])
 
-    def _is_being_probed(self, name: str, server: Server) -> bool:
-        has_recovered = name in self.recovery_taken_at or server.goods >= SUCCESSES_TO_RECOVER
+    def _is_being_probed(self, name: str, endpoint: TrackedEndpoint) -> bool:
+        is_good = endpoint.consecutive_successes >= SUCCESSES_TO_RECOVER
+        has_recovered = name in self.recovery_taken_at or is_good
         return name in self.probers and not has_recovered
 
     def _withdraw_old_recoveries(self, now: float) -> None:
-        servers = self.core.gateway.servers
+        endpoints = self.core.limiter.selector.endpoints
         for name, recovered_at in list(self.recovered_at.items()):
-            successes = servers[name].goods if name in servers else 0
+            successes = endpoints[name].consecutive_successes if name in endpoints else 0
             if now - recovered_at > RECOVERY_REPORT_MS or successes < SUCCESSES_TO_RECOVER:
                 del self.recovered_at[name]
                 self.write(RECOVERED_PREFIX + name, None)
@@ -165,32 +166,32 @@
 
     def _choose_probers(self, replicator_now: float) -> None:
         replicator = self.replicator
-        servers = self.core.gateway.servers
+        endpoints = self.core.limiter.selector.endpoints
         own = {key for key, entry in replicator.own_log().entries.items() if entry.value is not None}
         present: list[str] = []
         if not replicator.is_isolated(replicator_now):  # else it decides by what it has found itself
             present = replicator.present_members(replicator_now)
         report_counts = {}
-        for name in servers:
+        for name in endpoints:
             key = FAULTY_PREFIX + name
             report_counts[name] = len(self._reporting_members(key)) + (1 if key in own else 0)
-        faulty = [name for name in servers if report_counts[name] >= REPORTS_NEEDED]
+        faulty = [name for name in endpoints if report_counts[name] >= REPORTS_NEEDED]
         faulty.sort(key=lambda name: (-report_counts[name], name))
-        if not present or len(faulty) > _max_held(len(servers)):
+        if not present or len(faulty) > _max_held(len(endpoints)):
             faulty = []
-        self.probers = {name: homes(name, present)[0] for name in faulty}
+        self.probers = {name: preferred_groups(name, present)[0] for name in faulty}
 
     def _hold_back_faulty(self, now: float) -> None:
-        gateway = self.core.gateway
+        limiter = self.core.limiter
         for name, prober in self.probers.items():
-            server = gateway.servers[name]
+            endpoint = limiter.selector.endpoints[name]
             if prober == self.replicator.incarnation.name:
                 continue  # it probes by its own outlier detection, as a limiter without peers does
             if prober not in self._reporting_members(RECOVERED_PREFIX + name):
-                server.down = max(server.down, now + HOLD_MS)
+                endpoint.ejected_until = max(endpoint.ejected_until, now + HOLD_MS)
             elif name not in self.recovery_taken_at:  # once for each report: own outcomes count from here on
                 self.recovery_taken_at[name] = now
-                health.trust(server, gateway.usual)
+                endpoint.clear_faults(limiter.estimates.latency_ms)
 
     def _hold_back_removed(self) -> None:
         listed = self.bans.listed
--- a/scalelb/program/idempotency_records.py
+++ b/scalelb/program/idempotency_records.py
@@ -17,10 +17,10 @@
 from typing import Any, NamedTuple
 
 from scalelb.policy.endpoints import Endpoint, EndpointState
+from scalelb.policy.request import Request
 from scalelb.policy.settings import DeduplicationScope, Idempotency
 from scalelb.replication import Incarnation
 from scalelb.routing.core import Core
-from scalelb.routing.state import Request
 
 IDEMPOTENCY_PREFIX = "k:"
 MAX_OWN_KEYS = 8192
@@ -65,14 +65,14 @@
 
     def sends(self, request: Request) -> None:
         """Publish an attempt before it is forwarded, if its duplicates are not dropped everywhere."""
-        request_class = request.kind
+        request_class = request.request_class
         now = self.clock()
-        if not request.key or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
+        if not request.idempotency_key or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return
         if request_class.deduplication_scope is DeduplicationScope.ALL:
             return
-        endpoint = self.core.gateway.attempts[request.ident, request.sends - 1].server.info
-        record_key = _record_key(request.customer.name, request.key)
+        endpoint = self.core.limiter.attempts[request.request_id, request.attempts_sent - 1].endpoint.endpoint
+        record_key = _record_key(request.tenant.name, request.idempotency_key)
         ends_at = now + request_class.idempotency_window_ms
         self.own_ends_at.pop(record_key, None)
         if len(self.own_ends_at) >= MAX_OWN_KEYS:  # bounds the memory: the oldest goes
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -19,6 +19,7 @@
 from typing import Any
 from zlib import crc32
 
+from scalelb.policy.handover import leave_handover
 from scalelb.program.account_replication import (
     ACCOUNT_PREFIX,
     EARLIER_INCARNATIONS_MS,
@@ -34,7 +35,6 @@
 from scalelb.replication import Incarnation, MemberState, OutgoingFrame, Replicator
 from scalelb.routing.bans import Bans, Word
 from scalelb.routing.core import Core
-from scalelb.routing.handover import take_out
 
 OVERRIDE_PREFIX = "x:"
 REVIEW_INTERVAL_MS = 1000.0  # between two reviews of the endpoints
@@ -83,7 +83,7 @@
         replicator.on_closed = self.on_closed
         replicator.on_entry = self.on_entry
         # Until it has settled no tenant gets a fresh share: an earlier incarnation may have granted it.
-        core.gateway.records.given_way_until = inf
+        core.limiter.tenants.records.unknown_start_empty_until = inf
 
     def write(self, key: str, value: Any) -> None:
         """Write an own entry; the value None deletes it."""
@@ -136,7 +136,7 @@
                     self.on_entry(incarnation, key, value)
                 elif key.startswith(IDEMPOTENCY_PREFIX):
                     self.close_earlier_at = max(self.close_earlier_at, now + MAX_CLOCK_DISTANCE_MS)
-        self.core.gateway.records.given_way_until = 0.0
+        self.core.limiter.tenants.records.unknown_start_empty_until = 0.0
         self.log("recalled", accounts=recovered, lives=len(earlier))
 
     def _recover_account(self, tenant: str, value: Any, now: float) -> bool:
@@ -150,7 +150,7 @@
     def on_closed(self) -> None:
         """A newer incarnation of this name is at work: the balances are its own, and nothing more is
         granted."""
-        take_out(self.core.gateway, self.clock())
+        leave_handover(self.core.limiter, self.clock())
 
     def on_entry(self, incarnation: Incarnation, key: str, value: Any) -> None:
         """An entry is new here, or was deleted (None)."""
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -9,7 +9,7 @@
 
 from driver import SETTINGS
 
-from scalelb.fairness import DoorSettings
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
@@ -54,7 +54,7 @@
         settings: Settings = SITE,
         counter: Counter | None = None,
         now: float = 1e6,
-        door: DoorSettings | None = None,
+        door: AdmissionQueueSettings | None = None,
     ) -> None:
         self.now = now
         self.counter = counter or Counter()
@@ -71,8 +71,8 @@
 
     def fetch(self, ticket: Ticket, server: str, patience_ms: float) -> None:
         self.fetched.append((str(ticket.ident), server))
-        units, mean = self.core.gateway.requests[ticket.ident].units, self.core.gateway.mean
-        attempt, took = ticket.attempt, self.core.gateway.usual * (0.5 + 0.5 * units / mean)
+        units, mean = self.core.limiter.requests[ticket.ident].units, self.core.limiter.estimates.units
+        attempt, took = ticket.attempt, self.core.limiter.estimates.latency_ms * (0.5 + 0.5 * units / mean)
         self.due.append((self.now + took, lambda: self._served(ticket, attempt)))
 
     def _served(self, ticket: Ticket, attempt: int) -> None:
--- a/tests/test_fair_door.py
+++ b/tests/test_admission_queue_in_core.py
@@ -1,4 +1,4 @@
-"""The fair door before the decisions: through the fronts, at stop and reload, and its settings."""
+"""The admission queue before the limiter: through the listeners, at stop and reload; its settings."""
 
 from __future__ import annotations
 
@@ -14,25 +14,26 @@
 from test_core import Client, ask
 from test_middleware import HEADERS
 
-from scalelb.fairness import DoorSettings
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.middleware import Host, LimiterMiddleware
-from scalelb.program.config import ConfigError, read_door
-from scalelb.routing.control import HOT_MOST, VISITS
+from scalelb.policy.housekeeping import VISITED_TENANTS
+from scalelb.policy.tenant_table import MAX_TENANTS
+from scalelb.program.config import ConfigError, read_admission_queue
 from scalelb.routing.core import Verdict
 
-ONE = DoorSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
-TWO = DoorSettings(start_requests=2.0, least_requests=2.0, most_requests=2.0)
+ONE = AdmissionQueueSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
+TWO = AdmissionQueueSettings(start_requests=2.0, least_requests=2.0, most_requests=2.0)
 SITE_ONE = replace(SITE, has_counter=False)
 
 STORIES = {
-    "one that waits is sent once there is room": """
+    "queued request is sent once there is capacity": """
         backend send {SERVED}
         wait 20
         backend expect 0000000000000003
         backend send {SERVED}
         client3 expect $2\\nok\\n
         """,
-    "one whose client leaves while it waits is never sent": """
+    "request cancelled while queued is never sent": """
         client3 close
         backend send {SERVED}
         backend2 send {SERVED}
@@ -43,31 +44,31 @@
 }
 
 
-def held_at(stage: Stage, wait: int = 7000) -> None:
+def queue_third_request(stage: Stage, wait: int = 7000) -> None:
     stage.play("client1 send {call(1)}\nbackend expect 0000000000000001")
     stage.play("client2 send {call(2)}\nbackend2 expect 0000000000000002")
     stage.play(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 silent")
-    assert stage.loop.core.door is not None and list(stage.loop.core.door.held) == [3]
+    assert stage.loop.core.door is not None and list(stage.loop.core.door.queued.by_id) == [3]
 
 
 @pytest.mark.parametrize("story", STORIES.values(), ids=STORIES.keys())
-def test_what_waits_at_the_door(story: str) -> None:
+def test_queued_request_is_forwarded_once_or_never(story: str) -> None:
     stage = Stage(fairness=TWO, has_counter=False)
-    held_at(stage)
+    queue_third_request(stage)
     stage.play(story)
     door = stage.loop.core.door
-    assert door is not None and not door.held and not door.queue.flows
+    assert door is not None and not door.queued.by_id and not door.fair_queue.flows
 
 
-def test_one_that_can_not_be_in_time_any_more_is_refused_then_and_never_sent() -> None:
+def test_overdue_request_is_rejected_and_never_sent() -> None:
     stage = Stage(fairness=TWO, has_counter=False)
-    held_at(stage, wait=400)
+    queue_third_request(stage, wait=400)
     stage.play("wait 300\nclient3 expect -BUSY\nbackend send {SERVED}\nwait 20\nbackend silent")
 
 
-def test_sigterm_finishes_what_waits_at_the_door() -> None:
+def test_sigterm_finishes_queued_requests() -> None:
     stage = Stage(fairness=TWO, has_counter=False)
-    held_at(stage)
+    queue_third_request(stage)
     stage.program.stop()
     stage.wait(750)
     stage.play("backend send {SERVED}\nwait 20\nbackend expect 0000000000000003\nbackend send {SERVED}")
@@ -78,26 +79,28 @@
     assert stage.net.stopped
 
 
-def test_sighup_leaves_what_waits_at_the_door() -> None:
+def test_sighup_leaves_queued_requests() -> None:
     stage = Stage(fairness=TWO, has_counter=False)
-    held_at(stage)
-    stage.reload(director="127.0.0.1:7001", fairness=DoorSettings(held_most=1))
+    queue_third_request(stage)
+    stage.reload(director="127.0.0.1:7001", fairness=AdmissionQueueSettings(held_most=1))
     assert [e["at_next_start"] for e in stage.logged if e["event"] == "reloaded"] == [["SCALELB_FAIRNESS"]]
-    stage.play(STORIES["one that waits is sent once there is room"])
+    stage.play(STORIES["queued request is sent once there is capacity"])
 
 
-def test_a_full_core_answers_each_once_whatever_the_door_does() -> None:
+def test_full_core_answers_each_request_once() -> None:
     back = Backside(SITE_ONE, door=replace(ONE, held_most=5))
     clients = [ask(back, customer=f"c{n % 7}")[0] for n in range(300)]
     back.run(10_000.0)
     assert all(len(client.answers) == 1 for client in clients)
     door = back.core.door
-    assert door is not None and not (door.held or door.inside or door.waiting or door.out)
+    assert door is not None and not (
+        door.queued.by_id or door.forwarded.by_id or door.forwarded.unsent_by_flow or door.forwarded.in_flight
+    )
     assert not back.core.tickets
 
 
 @pytest.mark.parametrize("through", [1, 2])
-def test_a_keyed_try_that_waited_at_one_door_counts_once_through_the_other(through: int) -> None:
+def test_keyed_request_queued_through_one_listener_is_charged_once_through_another(through: int) -> None:
     back = Backside(SITE_ONE, door=ONE)
     for _ in range(2):
         ask(back)
@@ -105,27 +108,27 @@
     keyed: dict[str, Any] = {"kind": 1, "key": "k1", "units": 2.0, "expires_ms": 4000.0}
     first, ticket = ask(back, door=0, **keyed)
     back.run()
-    assert back.core.door is not None and ticket.ident in back.core.door.held
-    before = back.core.gateway.customers["ad"].balance
+    assert back.core.door is not None and ticket.ident in back.core.door.queued.by_id
+    before = back.core.limiter.tenants.tenants["ad"].bucket.balance
     second, _ = ask(back, door=through - 1, retry=True, **keyed)
     back.run()
-    spent = before - back.core.gateway.customers["ad"].balance
+    spent = before - back.core.limiter.tenants.tenants["ad"].bucket.balance
     assert spent == 0.0  # both wait: nothing is charged before it goes on
     door = back.core.door
     charged: list[float] = []
-    charge = back.core.gateway._charge
+    charge = back.core.limiter.sender._charge
 
     def counted(request: Any, now: float, whole: bool) -> None:
         charge(request, now, whole)
-        charged.append(request.charged if request.key else 0.0)
+        charged.append(request.charged_units if request.idempotency_key else 0.0)
 
-    back.core.gateway._charge = counted  # type: ignore
+    back.core.limiter.sender._charge = counted  # type: ignore
     back.run(3000.0)
-    assert first.answers and second.answers and not door.held
+    assert first.answers and second.answers and not door.queued.by_id
     assert sum(charged) == (2.0 if through == 2 else 4.0)
 
 
-def test_admissions_wait_at_the_same_door_and_count_as_out_for_the_usual_time() -> None:
+def test_admissions_are_queued_and_count_as_in_flight_for_the_usual_latency() -> None:
     back = Backside(SITE_ONE, door=ONE)
     clients = [ask(back, admission=True)[0] for _ in range(4)]
     back.run()
@@ -135,22 +138,22 @@
     assert [client.answers[0][0] for client in clients] == [Verdict.ADMITTED] * 4
 
 
-def test_a_cancel_while_held_at_the_door_spends_nothing() -> None:
+def test_request_cancelled_while_queued_spends_nothing() -> None:
     back = Backside(SITE_ONE, door=ONE)
     for _ in range(2):
         ask(back)
         back.run()
     client, ticket = ask(back, units=3.0)
     back.run()
-    balance = back.core.gateway.customers["ad"].balance
+    balance = back.core.limiter.tenants.tenants["ad"].bucket.balance
     back.core.gone(ticket)
     back.run(20.0)
     assert not client.answers
-    assert back.core.gateway.customers["ad"].balance >= balance
+    assert back.core.limiter.tenants.tenants["ad"].bucket.balance >= balance
     assert not any(ident == str(ticket.ident) for ident, _ in back.fetched)
 
 
-def test_the_middleware_asks_the_same_door() -> None:
+def test_middleware_uses_the_same_admission_queue() -> None:
     async def story() -> None:
         now = [1e6]
         host = Host(replace(SITE_ONE, limiter_count=3), 1, None, lambda: now[0], door=ONE)
@@ -175,7 +178,7 @@
         asked = [asyncio.ensure_future(one()) for _ in range(4)]
         for _ in range(20):
             await asyncio.sleep(0)
-        assert host.core.door is not None and host.core.door.held and len(seen) < 4
+        assert host.core.door is not None and host.core.door.queued.by_id and len(seen) < 4
         for _ in range(100):
             now[0] += 10.0
             host.core.turn()
@@ -186,8 +189,10 @@
     asyncio.run(asyncio.wait_for(story(), 30))
 
 
-def test_refusals_for_quota_are_told_times_one_after_another() -> None:
-    back = Backside(replace(SITE_ONE, max_retry_after_ms=60_000.0), door=DoorSettings(plan_rates=(4.0,)))
+def test_rejections_for_quota_get_one_retry_after_time_after_another() -> None:
+    back = Backside(
+        replace(SITE_ONE, max_retry_after_ms=60_000.0), door=AdmissionQueueSettings(plan_rates=(4.0,))
+    )
     clients: list[Client] = [ask(back, units=2.0)[0] for _ in range(40)]
     back.run()
     answers = [answer for client in clients for answer in client.answers]
@@ -197,29 +202,29 @@
     assert min(gaps) >= 499.0  # 2 units at 4 a second
 
 
-# What the decisions remember
+# What the limiter remembers
 
 
-def test_customers_beyond_the_most_leave_a_record_and_no_fresh_burst() -> None:
+def test_evicted_tenants_leave_a_record_and_get_no_fresh_burst() -> None:
     d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
     for _ in range(6):  # ada uses all that she has
         d.ask(sharing_limiters=1)
         d.give(io_ended(d.sends()[-1]))
-    left = d.gateway.customers["ada"].balance
+    left = d.limiter.tenants.tenants["ada"].bucket.balance
     assert left <= 0.0
-    for number in range(HOT_MOST + 500):
+    for number in range(MAX_TENANTS + 500):
         ident = d.ask(f"c{number}", units=0.5, sharing_limiters=1)
         sent = [s for s in d.sends()[-1:] if s.request_id == ident]
         if sent:
             d.give(io_ended(sent[0]))
-    assert len(d.gateway.customers) <= HOT_MOST + 8
-    assert "ada" not in d.gateway.customers and d.gateway.knows("ada")
+    assert len(d.limiter.tenants.tenants) <= MAX_TENANTS + 8
+    assert "ada" not in d.limiter.tenants.tenants and d.limiter.tenants.knows("ada")
     d.ask("ada", sharing_limiters=1)
-    assert d.gateway.customers["ada"].balance < 2.0  # what the rate brought meanwhile, no burst
+    assert d.limiter.tenants.tenants["ada"].bucket.balance < 2.0  # what the rate brought meanwhile, no burst
     for send in d.sends()[-1:]:
         d.give(io_ended(send))
     d.wait(30_000.0)
-    assert not d.gateway.customers and not d.gateway.records.tables
+    assert not d.limiter.tenants.tenants and not d.limiter.tenants.records.tables
 
 
 def io_ended(send: Any) -> Any:
@@ -228,15 +233,15 @@
     return AttemptEnded(send.request_id, 0, send.endpoint, Outcome.OK, 100.0, True)
 
 
-def test_house_keeping_visits_so_many_in_a_turn() -> None:
+def test_housekeeping_visits_are_bounded_per_turn() -> None:
     d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
-    for number in range(3 * VISITS):
+    for number in range(3 * VISITED_TENANTS):
         d.ask(f"c{number}", units=0.5, sharing_limiters=1)
     visited: list[int] = []
-    part = d.gateway._keep_house
-    d.gateway._keep_house = lambda now: (part(now), visited.append(len(d.gateway.unvisited)))[0]  # type: ignore
+    part = d.limiter._keep_house
+    d.limiter._keep_house = lambda now: (part(now), visited.append(len(d.limiter.housekeeper.unvisited)))[0]  # type: ignore
     d.wait(1100.0)
-    assert visited[:3] == [2 * VISITS, VISITS, 0]
+    assert visited[:3] == [2 * VISITED_TENANTS, VISITED_TENANTS, 0]
 
 
 # Settings
@@ -259,12 +264,12 @@
         ({"door": 1}, "door: must be an object"),
     ],
 )
-def test_a_faulty_door_is_named_by_its_key(options: dict[str, Any], words: str) -> None:
+def test_faulty_settings_are_named_by_their_key(options: dict[str, Any], words: str) -> None:
     with pytest.raises(ConfigError, match=words):
-        read_door(options, SITE, ("basic",))
+        read_admission_queue(options, SITE, ("basic",))
 
 
-def test_the_door_is_off_unless_it_is_turned_on() -> None:
-    assert read_door({}, SITE, ("basic",)) is None
-    door = read_door({"door": {"on": True}, "weights": {"basic": 2.0}}, SITE, ("basic",))
+def test_admission_queue_is_off_unless_turned_on() -> None:
+    assert read_admission_queue({}, SITE, ("basic",)) is None
+    door = read_admission_queue({"door": {"on": True}, "weights": {"basic": 2.0}}, SITE, ("basic",))
     assert door is not None and door.weights == (2.0,) and door.reserve
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -14,38 +14,39 @@
 SOURCES = sorted((ROOT / "scalelb").rglob("*.py"))
 # fmt: off
 MAY_USE = {
-    "fairness": {"fairness"},
-    "overload": {"overload"},
+    "admission_queue": {"admission_queue"},
     "consensus": {"consensus"},
-    "policy": {"policy"},
-    "routing": {"fairness", "overload", "policy", "routing"},
+    "policy": {"admission_queue", "policy"},
+    "routing": {"admission_queue", "policy", "routing"},
     "protocol": {"protocol"},
     "transport": {"policy", "routing", "protocol", "transport"},
-    "middleware": {"fairness", "policy", "routing", "protocol", "middleware"},
+    "middleware": {"admission_queue", "policy", "routing", "protocol", "middleware"},
     "replication": {"replication"},
     "program": {
-        "consensus", "fairness", "overload", "policy", "replication", "routing", "protocol", "transport",
+        "admission_queue", "consensus", "policy", "replication", "routing", "protocol", "transport",
         "program",
     },
     "lab": {
-        "consensus", "fairness", "overload", "policy", "replication", "routing", "protocol", "transport",
+        "admission_queue", "consensus", "policy", "replication", "routing", "protocol", "transport",
         "program", "lab",
     },
     "__main__": {"lab"},
-    "wirehost": {"policy", "routing", "program", "wirehost"},
-    "__init__": {"policy", "routing"},
+    "wirehost": {"policy", "program", "wirehost"},
+    "__init__": {"policy"},
 }
 # fmt: on
 FOREIGN = {
-    "fairness": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
-    "policy": {"twisted", "socket", "grpc", "httptools", "orjson"},
+    "admission_queue": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
+    "policy": {"twisted", "socket", "grpc", "httptools", "orjson", "time"},
     "routing": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "protocol": {"twisted", "socket"},
     "consensus": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
-    "overload": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "replication": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
 }
 
+# Policy modules that decide without chance: what they decide follows from their arguments alone.
+NO_CHANCE = ("concurrency_limit", "counter_contention", "retry_budget", "subsetting")
+
 
 def imported(path: Path) -> set[str]:
     found = set()
@@ -64,10 +65,16 @@
     for name in imported(path):
         parts = name.split(".")
         if parts[0] == "scalelb":
-            assert len(parts) > 1 and parts[1] in MAY_USE[layer] | {"Gateway"}, name
+            assert len(parts) > 1, name
+            assert parts[1] in MAY_USE[layer] | {"Limiter"}, name
         assert parts[0] not in FOREIGN.get(layer, set()), name
 
 
+@pytest.mark.parametrize("module", NO_CHANCE)
+def test_module_draws_no_random_numbers(module: str) -> None:
+    assert "random" not in imported(ROOT / "scalelb" / "policy" / f"{module}.py")
+
+
 def test_the_program_does_without_the_extras_until_they_are_configured() -> None:
     extras = (
         "grpc google.protobuf starlette numpy pyarrow click scalelb.lab scalelb.replication "
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -404,12 +404,12 @@
     found.cut({found.names[3]}, set(found.names))
     found.run(found.now + 1000)
     member: Any = found.limiters[3]
-    gateway = member.core.gateway
+    limiter = member.core.limiter
     assert not member.peering.replicator.is_settled
     found.load([Arrival(found.now + 10, "x", 1, 0, 0, 1.0, 3)])
     found.run(found.now + 100)
-    assert [c.balance for c in gateway.customers.values()] and max(
-        c.balance for c in gateway.customers.values()
+    assert [c.bucket.balance for c in limiter.tenants.tenants.values()] and max(
+        c.bucket.balance for c in limiter.tenants.tenants.values()
     ) < 0.2  # fmt: skip
     found.run(found.now + 2500)
     assert member.peering.replicator.is_settled  # alone for long enough: it goes on by itself
@@ -461,26 +461,29 @@
     found.run(now + 4000)
     for member in found.limiters:
         other: Any = member
-        gateway = other.core.gateway
+        limiter = other.core.limiter
         if other is not liar:
             assert not other.bans.held
-            assert len(gateway.serving) == len(found.servers)
-            assert not any(server.down for server in gateway.servers.values())
-        assert max((c.balance for c in gateway.customers.values()), default=0.0) <= PLAN.burst
+            assert len([s for s in limiter.selector.endpoints.values() if s.is_warm()]) == len(found.servers)
+            assert not any(server.ejected_until for server in limiter.selector.endpoints.values())
+        assert max((c.bucket.balance for c in limiter.tenants.tenants.values()), default=0.0) <= PLAN.burst
 
 
 def bad_at(found: Flock, names: tuple[int, ...], server: str = "deck-0") -> None:
     """Some limiters have found a backend bad."""
     for number in names:
         member: Any = found.limiters[number]
-        record = member.core.gateway.servers[server]
-        record.failing, record.heard, record.goods, record.marked = 0.9, 5.0, 0, found.kernel.now
+        record = member.core.limiter.selector.endpoints[server]
+        record.failure_ratio, record.answer_weight = 0.9, 5.0
+        record.consecutive_successes, record.updated_at = 0, found.kernel.now
 
 
 def held(found: Flock, server: str = "deck-0") -> set[str]:
     """The limiters that send a backend nothing."""
     members: list[Any] = [m for m in found.limiters if not getattr(m, "dead", True)]
-    return {m.name for m in members if m.core.gateway.servers[server].down > found.kernel.now}
+    return {
+        m.name for m in members if m.core.limiter.selector.endpoints[server].ejected_until > found.kernel.now
+    }
 
 
 def test_one_member_probes_a_faulty_endpoint_for_all_and_the_next_when_it_dies() -> None:
@@ -496,7 +499,9 @@
     left = set(found.names) - held(found) - {trier}
     assert len(left) == 1
     member = found.member(left.pop())
-    member.core.gateway.servers["deck-0"].goods = 2  # two good answers in a row: all may send to it again
+    member.core.limiter.selector.endpoints[
+        "deck-0"
+    ].consecutive_successes = 2  # two good answers in a row: all may send to it again
     found.run(found.now + 4500.0)
     assert not held(found)
 
@@ -526,7 +531,7 @@
     new: Any = found.limiters[1]
     assert new is not member
     assert new.bans.out("deck-2")
-    assert "deck-2" not in new.core.gateway.servers
+    assert "deck-2" not in new.core.limiter.selector.endpoints
 
 
 def test_a_stalled_incarnation_finds_itself_closed_and_grants_nothing() -> None:
@@ -544,15 +549,19 @@
         other.peering.replicator.links.clear()
     found.run(found.now + 3500)
     assert old.peering.replicator.is_closed
-    assert all(c.plan.burst == 0.0 for c in old.core.gateway.customers.values() if not c.shared)
-    assert old.core.gateway.records.given_way_until == float("inf")
+    assert all(
+        c.bucket.plan.burst == 0.0
+        for c in old.core.limiter.tenants.tenants.values()
+        if not c.bucket.is_shared
+    )
+    assert old.core.limiter.tenants.records.unknown_start_empty_until == float("inf")
 
 
 @settings(max_examples=40)
 @given(st.lists(st.one_of(st.floats(allow_nan=True), st.integers(), st.booleans(), st.text()), max_size=8))
 def test_a_malformed_account_is_none(value: list[Any]) -> None:
     record = decode_account(value, 1e12)
-    assert record is None or (abs(record.balance) <= 1e9 and record.at <= 1e12)
+    assert record is None or (abs(record.balance) <= 1e9 and record.evicted_at <= 1e12)
 
 
 def test_a_forged_account_of_an_earlier_incarnation_grants_a_burst_at_most() -> None:
@@ -563,7 +572,7 @@
     found.kill(1, 10.0)
     found.run(found.now + 2500)
     new: Any = found.limiters[1]
-    assert f"{7:016x}" in new.core.gateway.records.left
+    assert f"{7:016x}" in new.core.limiter.tenants.records.inherited
     found.load([Arrival(found.now + 10, "x", 7, 0, 0, 1.0, 1)])
     found.run(found.now + 50)
-    assert new.core.gateway.customers[f"{7:016x}"].balance <= PLAN.burst
+    assert new.core.limiter.tenants.tenants[f"{7:016x}"].bucket.balance <= PLAN.burst
