--- a/scalelb/program/peer_connections.py
+++ b/scalelb/program/peer_connections.py
@@ -1,4 +1,4 @@
-"""Joins a limiter's mesh to its sockets: loaded only where there are links."""
+"""Joins a limiter's replicator to its sockets: loaded only where there are links."""
 
 from __future__ import annotations
 
@@ -6,10 +6,9 @@
 from random import SystemRandom
 from typing import TYPE_CHECKING, Any
 
-from scalelb.peers import Mesh, MeshSettings
-from scalelb.peers.mesh import MalformedMessageError
 from scalelb.program.config import PeerSettings
-from scalelb.program.peering import Peering, Whose
+from scalelb.program.peering import OverrideScope, Peering
+from scalelb.replication import MalformedFrameError, ReplicationSettings, Replicator
 from scalelb.transport.peerlink import PeerLinks
 from scalelb.transport.stream import host_port
 
@@ -17,39 +16,43 @@
     from scalelb.program.__main__ import Program
 
 BACKLOG = 64
-SWEEPS = 10  # ticks between two looks for silent links
+TICKS_PER_SWEEP = 10  # between two looks for silent links
 
 
 class PeerConnections:
-    """One limiter's links, mesh and peering."""
+    """One limiter's links, replicator and peering."""
 
     def __init__(self, program: Program, settings: PeerSettings) -> None:
-        self.program, self.settings, self.reactor = program, settings, program.reactor
+        self.program = program
+        self.settings = settings
+        self.reactor = program.reactor
         config = program.config
-        self.random = SystemRandom()  # a life's nonce must differ from any other's, whatever the seeds are
-        mesh = MeshSettings(
+        self.random = SystemRandom()  # incarnations' nonces must differ, whatever the seeds are
+        replication = ReplicationSettings(
             name=config.name,
             members=tuple(settings.members),
             tick_ms=settings.tick_ms,
-            beat_ms=settings.beat_ms,
-            suspect_ms=settings.suspect_ms,
-            alone_ms=settings.alone_ms,
+            heartbeat_ms=settings.beat_ms,
+            suspect_after_ms=settings.suspect_ms,
+            settle_alone_after_ms=settings.alone_ms,
         )
-        self.mesh = Mesh(mesh, self.random.getrandbits(31), self.now(), program.log)
-        loop, whose = program.loop, Whose.FLEET if settings.fleet_bans else Whose.OWN
+        self.replicator = Replicator(replication, self.random.getrandbits(31), self.now(), program.log)
+        loop = program.loop
+        scope = OverrideScope.FLEET if settings.fleet_bans else OverrideScope.LIMITER
         self.peering = Peering(
-            self.mesh, loop.core, loop.bans, loop.clock, loop.banned, program.log, whose, self.flush
+            self.replicator, loop.core, loop.bans, loop.clock, loop.banned, program.log, scope, self.flush
         )  # fmt: skip
         others = {name: at for name, at in settings.members.items() if name != config.name}
         self.links = PeerLinks(
             self.reactor, config.name, others, program.log, self.joined, self.left, self.message
         )  # fmt: skip
         self.ticks = 0
-        self.digest = self.told_digest = ""
-        self.cpu = 0.0  # seconds that the links have taken
+        self.digest = ""  # at the newest look
+        self.logged_digest = ""
+        self.cpu_s = 0.0  # that the links have taken
 
     def now(self) -> float:
-        """The mesh's clock: it only goes on."""
+        """The replicator's clock: it only goes on."""
         return 1000.0 * float(self.reactor.seconds())
 
     def listen(self) -> Any:
@@ -60,62 +63,66 @@
         return bound
 
     def tick(self) -> None:
-        """Say what is to be said, again and again."""
+        """Dial the links that are due and send what is due, again and again."""
         if self.links.closing:
             return
-        began = time.thread_time()
+        started_s = time.thread_time()
         self.ticks += 1
-        if self.ticks % SWEEPS == 0:
+        if self.ticks % TICKS_PER_SWEEP == 0:
             self.links.sweep()
-            self.tell_quiet()
-        for name in self.mesh.wanted(self.random.choice):
+            self.log_digest_once_stable()
+        for name in self.replicator.links_to_dial(self.random.choice):
             self.links.dial(name)
         for name, message in self.peering.tick(self.now(), self.links.ready):
             self.links.send(name, message)
-        self.cpu += time.thread_time() - began
-        self.reactor.callLater(self.mesh.settings.push_ms / 1000, self.tick)
+        self.cpu_s += time.thread_time() - started_s
+        self.reactor.callLater(self.replicator.settings.push_ms / 1000, self.tick)
 
     def flush(self) -> None:
         """Send own writes now."""
-        for name, message in self.mesh.push(self.links.ready):
+        for name, message in self.replicator.push(self.links.ready):
             self.links.send(name, message)
 
-    def tell_quiet(self) -> None:
+    def log_digest_once_stable(self) -> None:
         """One line once nothing has changed for a while: what is held here, to compare with the others."""
         digest = self.peering.digest()
-        if digest == self.digest and digest != self.told_digest:
-            self.told_digest = digest
+        if digest == self.digest and digest != self.logged_digest:
+            self.logged_digest = digest
             self.program.log("quiet", digest=digest)
         self.digest = digest
 
     def joined(self, name: str) -> None:
         """A link is up."""
-        self.mesh.joined(name, self.now())
+        self.replicator.link_up(name, self.now())
 
     def left(self, name: str) -> None:
         """A link has ended."""
-        self.mesh.left(name, self.now())
+        self.replicator.link_down(name, self.now())
 
     def message(self, name: str, message: Any) -> None:
-        """A peer's message; one that can't be ends its link."""
-        began = time.thread_time()
+        """A peer's frame.  Raises `MalformedFrameError` for one that can't be: its link ends."""
+        started_s = time.thread_time()
         try:
-            answers = self.mesh.received(name, message, self.now())
-        except MalformedMessageError:
-            self.mesh.dropped += 1
+            answers = self.replicator.receive(name, message, self.now())
+        except MalformedFrameError:
+            self.replicator.rejected_frames += 1
             raise
         for to, answer in answers:
             self.links.send(to, answer)
-        self.cpu += time.thread_time() - began
+        self.cpu_s += time.thread_time() - started_s
 
     def say(self, server: str) -> None:
-        """Staff's word on a backend has changed."""
-        self.peering.say(server, self.now())
+        """An operator has ejected an endpoint, or called it back."""
+        self.peering.publish_override(server, self.now())
 
     def told(self) -> dict[str, Any]:
         """For the log."""
-        told = {"sent": self.links.sent, "received": self.links.received, "cpu_ms": round(1000 * self.cpu, 1)}
-        return {"peers": {**self.peering.told(self.now()), **told}}
+        told = {
+            "sent": self.links.sent,
+            "received": self.links.received,
+            "cpu_ms": round(1000 * self.cpu_s, 1),
+        }
+        return {"peers": {**self.peering.status(self.now()), **told}}
 
     def stop(self) -> None:
         """End all links."""
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -24,17 +24,17 @@
 from scenario import Net, Wire
 
 from scalelb.admission_queue.tenant_records import TenantRecord, TenantRecords
-from scalelb.agreement import Learner, Proposer, Times, Voter
-from scalelb.peers import Mesh, MeshSettings
-from scalelb.peers.chain import TOMB_MS
+from scalelb.consensus import Acceptor, Learner, LeaseTimes, Proposer
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import CounterReplied, EndpointsListed, Outcome
 from scalelb.policy.handover import leave_handover, take_handover
 from scalelb.policy.limiter import Limiter
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan
-from scalelb.program.peering import Peering, Whose
+from scalelb.program.peering import OverrideScope, Peering
 from scalelb.program.policy_register import PolicyRegister
 from scalelb.program.succession import Succession
+from scalelb.replication import ReplicationSettings, Replicator
+from scalelb.replication.replicated_log import TOMBSTONE_MS
 from scalelb.routing.bans import Bans, Word
 from scalelb.routing.core import Core
 from scalelb.transport.peerlink import PeerLinks
@@ -258,7 +258,7 @@
 
 
 def new_learner() -> Learner:
-    return Learner("n0", "n0.1", VOTERS, Times())
+    return Learner("n0", "n0.1", VOTERS, LeaseTimes())
 
 
 class Exchanges:
@@ -270,9 +270,9 @@
         self.stores: dict[str, PolicyRegister] = {}
         self.voters = {name: self.voter(name, fresh=True) for name in VOTERS}
 
-    def voter(self, name: str, fresh: bool, now: float = 0.0) -> Voter:
+    def voter(self, name: str, fresh: bool, now: float = 0.0) -> Acceptor:
         store = self.stores[name] = PolicyRegister(self.folder / f"voter-{name}.db", name, ignore)
-        return Voter(name, VOTERS, store, Times(), now, fresh=fresh)
+        return Acceptor(name, VOTERS, store, LeaseTimes(), now, is_new_register=fresh)
 
     def lose_store(self, name: str, now: float) -> None:
         """A voter starts again, and its store is gone."""
@@ -287,7 +287,7 @@
     def send(self, at: float, to: str, word: dict[str, Any]) -> dict[str, Any]:
         """Carry a word to a voter; returns the answer, as it is read at the other end."""
         sent = orjson.loads(orjson.dumps(word))
-        answer = self.voters[to].received(sent, at)
+        answer = self.voters[to].receive(sent, at)
         self.lines.append({"at": at, "to": to, "word": sent, "answer": answer})
         told: dict[str, Any] = orjson.loads(orjson.dumps(answer))
         return told
@@ -299,15 +299,15 @@
 
     def propose(self, at: float, proposer: Proposer, names: tuple[str, ...] = VOTERS) -> None:
         """One attempt of a proposer, to its end."""
-        words: list[dict[str, Any] | None] = [proposer.begin()]
+        words: list[dict[str, Any] | None] = [proposer.begin_attempt()]
         while words and (word := words.pop(0)) is not None:
-            answers = [proposer.received(answer) for answer in self.to_all(at, word, names)]
+            answers = [proposer.receive(answer) for answer in self.to_all(at, word, names)]
             words += [answer for answer in answers if answer is not None]
 
     def ask(self, at: float, learner: Learner) -> None:
         """One ask of a learner for its permission, and what it gives back."""
-        for answer in self.to_all(at, learner.ask(at)):
-            if (back := learner.received(answer, at)) is not None:
+        for answer in self.to_all(at, learner.request_leases(at)):
+            if (back := learner.receive(answer, at)) is not None:
                 self.to_all(at, back)
 
 
@@ -321,18 +321,18 @@
     exchanges.send(4000.0, "a", {"k": "ask", "holder": "n0", "life": "n0.1", "ask": 1, "version": 0})
     first = new_proposer("p1", 2, '{"rate":1}', '{"rate":4}')
     second = new_proposer("p2", 2, '{"rate":2}', '{"rate":4}')
-    exchanges.to_all(4100.0, first.begin(), ("a", "b"))
-    second.begin()
+    exchanges.to_all(4100.0, first.begin_attempt(), ("a", "b"))
+    second.begin_attempt()
     exchanges.propose(4200.0, second)
     exchanges.propose(4300.0, first, ("a",))
     exchanges.ask(4400.0, learner)
     exchanges.ask(9000.0, learner)
-    third = new_proposer("p3", 3, '{"rate":9}', second.won)
-    for answer in exchanges.to_all(9100.0, third.begin()):
-        if (accept := third.received(answer)) is not None:
+    third = new_proposer("p3", 3, '{"rate":9}', second.decided_value)
+    for answer in exchanges.to_all(9100.0, third.begin_attempt()):
+        if (accept := third.receive(answer)) is not None:
             exchanges.send(9100.0, "a", accept)  # one voter accepts, and nobody hears of it
     exchanges.lose_store("c", 9200.0)
-    exchanges.send(9200.0, "c", third.begin())
+    exchanges.send(9200.0, "c", third.begin_attempt())
     for name in ("a", "b"):
         exchanges.send(9200.0, "c", exchanges.send(9200.0, name, {"k": "tell"}))
     exchanges.close()
@@ -350,15 +350,15 @@
     return exchanges.lines
 
 
-def read_voter(path: Path) -> Voter:
+def read_voter(path: Path) -> Acceptor:
     """A voter that starts with a store; it is lost where the store can't be read."""
-    return Voter("a", VOTERS, PolicyRegister(path, "a", ignore), Times(), 20_000.0)
+    return Acceptor("a", VOTERS, PolicyRegister(path, "a", ignore), LeaseTimes(), 20_000.0)
 
 
-def rewrite_voter(voter: Voter, path: Path) -> None:
+def rewrite_voter(voter: Acceptor, path: Path) -> None:
     """Store what a voter has read in another file."""
     store = PolicyRegister(path, "a", ignore)
-    store.save(voter.state.words())
+    store.save(voter.state.to_wire())
     store.close()
 
 
@@ -392,14 +392,14 @@
         self.now = now  # of the links; the clock of the decisions stands NOW_MS further
         net: Any = Net()
         addresses = {other: f"127.0.0.1:{7200 + int(other[1])}" for other in MEMBERS if other != name}
-        self.mesh = Mesh(MeshSettings(name, MEMBERS), nonce, now, ignore)
+        self.replicator = Replicator(ReplicationSettings(name, MEMBERS), nonce, now, ignore)
         self.links = PeerLinks(
             net,
             name,
             addresses,
             ignore,
-            lambda peer: self.mesh.joined(peer, self.now),
-            lambda peer: self.mesh.left(peer, self.now),
+            lambda peer: self.replicator.link_up(peer, self.now),
+            lambda peer: self.replicator.link_down(peer, self.now),
             self.received,
         )
         self.net = net
@@ -408,7 +408,13 @@
         self.fetched: list[Any] = []
         self.core = Core(PEER_SETTINGS, 7, self, self.clock)
         self.peering = Peering(
-            self.mesh, self.core, self.bans, self.clock, self.overridden, ignore, Whose.FLEET
+            self.replicator,
+            self.core,
+            self.bans,
+            self.clock,
+            self.overridden,
+            ignore,
+            OverrideScope.FLEET,
         )
 
     def clock(self) -> float:
@@ -424,7 +430,7 @@
         self.wires[peer].protocol.dataReceived(data)
 
     def received(self, peer: str, message: Any) -> None:
-        for to, answer in self.mesh.received(peer, message, self.now):
+        for to, answer in self.replicator.receive(peer, message, self.now):
             self.links.send(to, answer)
 
     def frames(self, peer: str) -> list[bytes]:
@@ -445,27 +451,27 @@
 
     # What it has read
 
-    def read_chain(self, name: str, number: int, nonce: int) -> tuple[int, int, dict[str, Any]]:
-        """The version and floor of a peer's chain, and its live entries."""
-        chain = next(c for life, c in self.mesh.replica.chains.items() if life == (name, number, nonce))
-        return chain.version, chain.floor, dict(chain.live())
+    def read_log(self, name: str, number: int, nonce: int) -> tuple[int, int, dict[str, Any]]:
+        """The version and floor of a peer's log, and its live entries."""
+        log = next(c for life, c in self.replicator.replica.logs.items() if life == (name, number, nonce))
+        return log.version, log.floor, dict(log.live_entries())
 
     def read_have(self, peer: str) -> tuple[bool, dict[tuple[str, int, int], tuple[int, int]]]:
         """Whether a peer has settled, and what it holds of each life."""
-        link = self.mesh.links[peer]
-        return link.settled, {(*life,): state for life, state in link.theirs.items()}
+        link = self.replicator.links[peer]
+        return link.is_settled, {(*life,): state for life, state in link.known_states.items()}
 
     def read_overrides(self) -> dict[str, Word]:
         return self.bans.words
 
     def read_attempt(self, tenant: str, key: str) -> tuple[int, int, float] | None:
         """Zone and cell where a key may have run, and when it was sent there."""
-        ran = self.peering.tries.ran(tenant, key)
+        ran = self.peering.idempotency.ran(tenant, key)
         return None if ran is None else (ran[0].zone, ran[0].cell, ran[1])
 
     def read_claims(self) -> set[str]:
         """What peers say of endpoints."""
-        return set(self.peering.said)
+        return set(self.peering.endpoints.reporters)
 
     def read_accounts(self) -> dict[str, TenantRecord]:
         """What this limiter's former lives have left of tenants."""
@@ -477,7 +483,7 @@
 
     def read_life(self) -> tuple[bool, int]:
         """Whether it has settled, and the number of its life."""
-        return self.mesh.settled, self.mesh.life.number
+        return self.replicator.is_settled, self.replicator.incarnation.number
 
     # Its work
 
@@ -562,14 +568,14 @@
     limiter.run(1000.0)
     limiter.list_endpoints(ENDPOINT, "s0", "s1", "s3")
     limiter.bans.say("s1", True, limiter.clock())
-    limiter.peering.say("s1", limiter.now)
+    limiter.peering.publish_override("s1", limiter.now)
     limiter.deliver("n1", have(ask=True))
     limiter.run(1000.0)
     limiter.list_endpoints(ENDPOINT, "s0", "s1")
     limiter.run(1000.0)
     limiter.run(40_000.0)  # the former life is closed; what is over ends
     to_first = limiter.frames("n1")
-    limiter.run(TOMB_MS + 30_000.0)
+    limiter.run(TOMBSTONE_MS + 30_000.0)
     limiter.frames("n1")
     limiter.connect("n2", frame({"hello": "n2", "form": 1}))
     limiter.deliver("n2", have())
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -15,18 +15,20 @@
 # fmt: off
 MAY_USE = {
     "admission_queue": {"admission_queue"},
-    "agreement": {"agreement"},
+    "consensus": {"consensus"},
     "policy": {"admission_queue", "policy"},
     "routing": {"admission_queue", "policy", "routing"},
     "protocol": {"protocol"},
     "transport": {"policy", "routing", "protocol", "transport"},
     "middleware": {"admission_queue", "policy", "routing", "protocol", "middleware"},
-    "peers": {"peers"},
+    "replication": {"replication"},
     "program": {
-        "agreement", "admission_queue", "peers", "policy", "routing", "protocol", "transport", "program",
+        "consensus", "admission_queue", "replication", "policy", "routing", "protocol", "transport",
+        "program",
     },
     "lab": {
-        "agreement", "admission_queue", "peers", "policy", "routing", "protocol", "transport", "program",
+        "consensus", "admission_queue", "replication", "policy", "routing", "protocol", "transport",
+        "program",
         "lab",
     },
     "__main__": {"lab"},
@@ -39,8 +41,8 @@
     "policy": {"twisted", "socket", "grpc", "httptools", "orjson", "time"},
     "routing": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "protocol": {"twisted", "socket"},
-    "agreement": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
-    "peers": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
+    "consensus": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
+    "replication": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
 }
 
 # Policy modules that decide without chance: what they decide follows from their arguments alone.
@@ -76,8 +78,9 @@
 
 def test_the_program_does_without_the_extras_until_they_are_configured() -> None:
     extras = (
-        "grpc google.protobuf starlette numpy pyarrow click scalelb.lab scalelb.peers scalelb.agreement "
-        "scalelb.program.peer_connections scalelb.program.peering scalelb.transport.peerlink asyncio"
+        "grpc google.protobuf starlette numpy pyarrow click scalelb.lab scalelb.replication "
+        "scalelb.consensus scalelb.program.peer_connections scalelb.program.peering "
+        "scalelb.transport.peerlink asyncio"
     )
     code = (
         "import sys, scalelb.program.__main__, scalelb.wirehost\n"
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -175,36 +175,40 @@
 def test_a_proposer_reads_stored_promises_and_goes_on_as_stored() -> None:
     lines = agreement_lines()
     proposer = new_proposer("p0", 1, '{"rate":4}', "")
-    assert proposer.begin() == lines[0]["word"]
-    assert proposer.received(lines[0]["answer"]) is None
-    accept = proposer.received(lines[1]["answer"])
+    assert proposer.begin_attempt() == lines[0]["word"]
+    assert proposer.receive(lines[0]["answer"]) is None
+    accept = proposer.receive(lines[1]["answer"])
     assert orjson.dumps(accept) == orjson.dumps(lines[3]["word"])
-    assert proposer.received(lines[3]["answer"]) is None
-    agreed = proposer.received(lines[4]["answer"])
+    assert proposer.receive(lines[3]["answer"]) is None
+    agreed = proposer.receive(lines[4]["answer"])
     assert orjson.dumps(agreed) == orjson.dumps(lines[6]["word"])
 
 
 def test_a_learner_reads_stored_permissions() -> None:
     asks = [line for line in agreement_lines() if line["word"]["k"] == "ask"]
     learner = new_learner()
-    assert learner.ask(4000.0) == asks[0]["word"]
-    assert learner.permitted(4000.0) == 0
+    assert learner.request_leases(4000.0) == asks[0]["word"]
+    assert learner.permitted_version(4000.0) == 0
     for line in asks[:2]:
-        assert learner.received(line["answer"], 4000.0) is None
-    assert (learner.permitted(4000.0), learner.value) == (1, '{"rate":4}')
-    learner.ask(4400.0)
-    back = learner.received(asks[4]["answer"], 4400.0)
+        assert learner.receive(line["answer"], 4000.0) is None
+    assert (learner.permitted_version(4000.0), learner.value) == (1, '{"rate":4}')
+    learner.request_leases(4400.0)
+    back = learner.receive(asks[4]["answer"], 4400.0)
     assert back == {"k": "back", "holder": "n0", "life": "n0.1", "ask": 2}
-    assert (learner.permitted(4400.0), learner.next) == (0, 2)
+    assert (learner.permitted_version(4400.0), learner.next_version) == (0, 2)
 
 
 def test_a_voters_store_is_read_and_written_back(tmp_path: Path) -> None:
     shutil.copy(DATA / "voter-a.db", tmp_path / "voter-a.db")
     voter = read_voter(tmp_path / "voter-a.db")
-    assert not voter.lost
+    assert not voter.has_lost_state
     state = voter.state
-    assert (state.version, state.value, state.permitted) == (2, '{"rate":2}', 2)
-    assert (state.promised, state.accepted, state.proposed) == ((1, "p3"), (1, "p3"), '{"rate":9}')
+    assert (state.decided_version, state.decided_value, state.leased_version) == (2, '{"rate":2}', 2)
+    assert (state.promised_ballot, state.accepted_ballot, state.accepted_value) == (
+        (1, "p3"),
+        (1, "p3"),
+        '{"rate":9}',
+    )
     rewrite_voter(voter, tmp_path / "rewritten.db")
     assert stored_rows(tmp_path / "rewritten.db") == stored_rows(DATA / "voter-a.db")
     kept = b'{"version":2,"value":"{\\"rate\\":2}","promised":[1,"p3"],"accepted":[1,"p3"],'
@@ -244,7 +248,7 @@
     limiter.deliver("n1", have())
     assert limiter.frames("n1") == to_n2()[1:]
     entries = {"!beat": 350.0, "x:s1": [1_700_000_003_100.0, True], "!closed": 2}
-    assert limiter.read_chain("n0", 2, 1234) == (23, 23, entries)
+    assert limiter.read_log("n0", 2, 1234) == (23, 23, entries)
 
 
 @pytest.mark.parametrize(
