--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -408,7 +408,13 @@
         self.fetched: list[Any] = []
         self.core = Core(PEER_SETTINGS, 7, self, self.clock)
         self.peering = Peering(
-            self.replicator, self.core, self.bans, self.clock, self.overridden, ignore, OverrideScope.FLEET
+            self.replicator,
+            self.core,
+            self.bans,
+            self.clock,
+            self.overridden,
+            ignore,
+            OverrideScope.FLEET,
         )
 
     def clock(self) -> float:
@@ -447,8 +453,7 @@
 
     def read_log(self, name: str, number: int, nonce: int) -> tuple[int, int, dict[str, Any]]:
         """The version and floor of a peer's log, and its live entries."""
-        logs = self.replicator.replica.logs
-        log = next(log for incarnation, log in logs.items() if incarnation == (name, number, nonce))
+        log = next(c for life, c in self.replicator.replica.logs.items() if life == (name, number, nonce))
         return log.version, log.floor, dict(log.live_entries())
 
     def read_have(self, peer: str) -> tuple[bool, dict[tuple[str, int, int], tuple[int, int]]]:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -23,12 +23,13 @@
     "middleware": {"admission_queue", "policy", "routing", "protocol", "middleware"},
     "replication": {"replication"},
     "program": {
-        "admission_queue", "consensus", "policy", "replication", "routing", "protocol", "transport",
+        "consensus", "admission_queue", "replication", "policy", "routing", "protocol", "transport",
         "program",
     },
     "lab": {
-        "admission_queue", "consensus", "policy", "replication", "routing", "protocol", "transport",
-        "program", "lab",
+        "consensus", "admission_queue", "replication", "policy", "routing", "protocol", "transport",
+        "program",
+        "lab",
     },
     "__main__": {"lab"},
     "wirehost": {"policy", "program", "wirehost"},
