--- /dev/null
+++ b/scalelb/core/__init__.py
@@ -0,0 +1,1 @@
+"""Request lifecycle without wire or sockets: open requests, attempts, timers, operator overrides, metrics."""
--- /dev/null
+++ b/scalelb/core/metrics.py
@@ -0,0 +1,25 @@
+"""Counts since the start, by request class.  Whoever reads them names them."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+
+class ClassMetrics:
+    """Final answers by kind, and attempts whose last byte was written; one count for each class."""
+
+    __slots__ = ("attempts", "errors", "ok", "rejected")
+
+    def __init__(self, class_count: int) -> None:
+        self.ok = [0] * class_count
+        self.rejected = [0] * class_count
+        self.errors = [0] * class_count
+        self.attempts = [0] * class_count
+
+    def by_class(self, class_names: Sequence[str]) -> dict[str, dict[str, int]]:
+        """The counts for the status output, by class name."""
+        columns = {"ok": self.ok, "shed": self.rejected, "errors": self.errors, "tries": self.attempts}
+        return {
+            name: {column: counts[index] for column, counts in columns.items()}
+            for index, name in enumerate(class_names)
+        }
--- /dev/null
+++ b/scalelb/core/ports.py
@@ -0,0 +1,65 @@
+"""What the core needs from outside: the back side, the callers, and the links to other limiters."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from enum import Enum
+from typing import TYPE_CHECKING, Protocol
+
+from scalelb.policy.endpoints import Endpoint
+from scalelb.routing.state import Request
+
+if TYPE_CHECKING:
+    from scalelb.core.request_table import OpenRequest
+
+NO_LOAD_REPORT: Mapping[str, float] = {}
+
+
+class Verdict(Enum):
+    """The final answer to a request."""
+
+    SERVED = "served"
+    ADMITTED = "admitted"
+    REJECTED = "refused"
+    FAILED = "failed"
+
+
+class Caller(Protocol):
+    """The front's side of a request: it gets the final answer, once."""
+
+    def on_answer(
+        self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
+    ) -> None:
+        """Pass the answer on.  `value` is a slice that is valid during this call only."""
+
+
+class Ports(Protocol):
+    """The back side: carries out what was decided, and reports to the core what became of it."""
+
+    def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
+        """Start an attempt; `Core.attempt_ended` must follow, unless `abandon_attempt` comes first."""
+
+    def abandon_attempt(self, request: OpenRequest) -> None:
+        """Give up the attempt in flight."""
+
+    def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
+        """Call the counter; `Core.counter_replied` must follow."""
+
+    def check_health(self, endpoint: str) -> None:
+        """Start a health check; `Core.health_check_ended` must follow."""
+
+    def on_endpoints(self, endpoints: Iterable[Endpoint], is_complete: bool) -> None:
+        """The endpoint list has changed: all of it, or these entries."""
+
+    def wake_at(self, due_at: float) -> None:
+        """Call `Core.turn` at this time (ms); if it has passed, once all pending input has been gathered."""
+
+
+class Replicas(Protocol):
+    """What other limiters know, where there are links to them (`program/peering.py`)."""
+
+    def ran(self, customer: str, key: str) -> tuple[Endpoint, float] | None:
+        """Where an attempt with this idempotency key may have been executed, and when it was sent (ms)."""
+
+    def sends(self, request: Request) -> None:
+        """An attempt of a request with an idempotency key is about to be sent."""
--- /dev/null
+++ b/scalelb/core/queue_adapter.py
@@ -0,0 +1,150 @@
+"""Between the core and the admission queue: who waits, who is passed on, who is rejected."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from math import inf
+
+from scalelb.core.request_table import OpenRequest, RequestTable
+from scalelb.fairness import Ask, Credit, DoorSettings, FairDoor, Step
+from scalelb.policy.actions import RejectRequest
+from scalelb.policy.events import Event, RequestArrived
+from scalelb.policy.settings import Settings
+from scalelb.routing.control import Gateway
+
+Decide = Callable[[list[Event], float], None]  # events, now
+Reject = Callable[[int, float], None]  # request id, retry after (ms)
+
+# Part of a mean request's service time that does not depend on its units; the rest is proportional to them.
+FIXED_COST_RATIO = 0.5
+
+
+class QueueAdapter:
+    """The admission queue in front of the decisions.  Times in ms."""
+
+    def __init__(
+        self,
+        queue_settings: DoorSettings,
+        settings: Settings,
+        gateway: Gateway,
+        open_requests: RequestTable,
+        decide: Decide,
+        reject: Reject,
+    ) -> None:
+        max_retry_after_ms = settings.max_retry_after_ms if settings.sends_retry_after else 1.0
+        self.queue = FairDoor(queue_settings, max_retry_after_ms)
+        self.settings = settings
+        self.gateway = gateway
+        self.open_requests = open_requests
+        self.decide = decide
+        self.reject = reject
+        self.check_at = inf  # for when a check is scheduled
+
+    def process(self, events: list[Event], now: float) -> float | None:
+        """Hand the events to the queue and the decisions; return when to check the queue next, if that is to
+        be scheduled.  What ended frees capacity and comes first, then who waits, then who arrives."""
+        arrivals = [event for event in events if isinstance(event, RequestArrived)]
+        self.decide([event for event in events if not isinstance(event, RequestArrived)], now)
+        for held, retry_after_ms in self.queue.overdue(now):
+            self.reject(held.ask.ident, retry_after_ms)
+        self._release(now)
+        for event in arrivals:
+            self._enqueue(event, now)
+        self._release(now)
+        check_at = self.queue.wakes_at()
+        if check_at == inf or now < self.check_at <= check_at:
+            return None
+        self.check_at = check_at
+        return check_at
+
+    def check_came_due(self) -> None:
+        """The scheduled check has come due."""
+        self.check_at = inf
+
+    def _release(self, now: float) -> None:
+        """Pass on what the queue releases, until it releases nothing more."""
+        while released := self.queue.release(now, self.gateway.blocked):
+            events: list[Event] = []
+            for held in released:
+                queued_ms = now - held.since
+                event: RequestArrived = held.item
+                expires_in_ms = event.expires_in_ms - queued_ms
+                events.append(replace(event, queued_ms=queued_ms, expires_in_ms=expires_in_ms))
+            self.decide(events, now)
+
+    def _enqueue(self, event: RequestArrived, now: float) -> None:
+        """Pass a new request on, let it wait or reject it; it may displace another that waits."""
+        request = self.open_requests.get(event.request_id)
+        if request is None or request.is_finished:
+            return
+        credit = self._credit(event.tenant, now)
+        ask = self._ask(event, request, now)
+        proportional_ratio = 1.0 - FIXED_COST_RATIO
+        request.relative_cost = FIXED_COST_RATIO + proportional_ratio * event.units / self.gateway.mean
+        step, retry_after_ms, displaced = self.queue.arrive(now, ask, credit, event)
+        if displaced is not None:
+            self.reject(displaced.ask.ident, retry_after_ms)
+        if step is Step.PASS:
+            self.decide([event], now)
+        elif step is Step.REFUSE:
+            self.reject(event.request_id, retry_after_ms)
+
+    def _ask(self, event: RequestArrived, request: OpenRequest, now: float) -> Ask:
+        request_class = self.settings.request_classes[event.class_index]
+        answer_by = now + min(request_class.latency_objective_ms, event.expires_in_ms)
+        listener_bit = 1 << event.listener
+        return Ask(
+            ident=event.request_id,
+            customer=event.tenant,
+            plan=event.plan_index,
+            units=event.units,
+            latest=answer_by - self.gateway.need(request_class),
+            worth=request_class.priority_weight,
+            retry=event.is_retry,
+            client=request.client_address,
+            known=self.gateway.knows(event.tenant),
+            free=self.gateway.keys.counted(event.tenant, event.idempotency_key, listener_bit, now),
+        )
+
+    def _credit(self, tenant: str, now: float) -> Credit | None:
+        balance_and_rate = self.gateway.credit(tenant, now)
+        return Credit(*balance_and_rate) if balance_and_rate is not None else None
+
+    # What becomes of a request
+
+    def cancel(self, request_id: int) -> bool:
+        """The request has ended without an answer; whether it waited in the queue."""
+        return self.queue.gone(request_id)
+
+    def admitted(self, request_id: int, now: float) -> None:
+        """The caller forwards it; it counts as in flight for the usual time, as nobody tells when it ends."""
+        self.queue.admitted(now, request_id, self.gateway.usual)
+
+    def retry_after_ms(self, action: RejectRequest, now: float) -> float:
+        """When a rejected client may come back: the queue reserves what the decisions advise."""
+        held = self.queue.inside.get(action.request_id)
+        if not self.settings.sends_retry_after or held is None:
+            return action.retry_after_ms
+        credit = self._credit(held.ask.customer, now)
+        return self.queue.refused(now, action.request_id, credit, action.retry_after_ms)
+
+    def attempt_sent(self, request: OpenRequest) -> None:
+        """An attempt is about to be sent."""
+        self.queue.sent(request.request_id)
+        server = self.gateway.servers.get(request.endpoint)
+        if server is None:
+            request.endpoint_load = 0.0
+            return
+        own_load = 2.0 * request.relative_cost - 1.0
+        request.endpoint_load = server.load - own_load
+
+    def attempt_ended(self, request: OpenRequest, now: float, elapsed_ms: float, is_ok: bool) -> None:
+        """An attempt ended in a way that tells of the endpoint's load."""
+        self.queue.answered(
+            now, request.endpoint, elapsed_ms, request.relative_cost, request.endpoint_load, is_ok
+        )
+
+    def finished(self, request_id: int) -> None:
+        """The request was answered or cancelled."""
+        self.queue.finished(request_id)
--- a/scalelb/lab/cli.py
+++ b/scalelb/lab/cli.py
@@ -128,7 +128,7 @@
                 {
                     "cpu_ms": round(limiter.cpu_ns / 1e6, 1),
                     "longest_turn_ms": round(limiter.longest_ns / 1e6, 1),
-                    "door": limiter.core.door.told()["door"] if limiter.core.door else {},
+                    "door": adapter.queue.told()["door"] if (adapter := limiter.core.queue_adapter) else {},
                 }
                 for limiter in world.limiters
             ]
--- a/scalelb/lab/counter_contention.py
+++ b/scalelb/lab/counter_contention.py
@@ -12,13 +12,15 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from scalelb.core.incoming_request import IncomingRequest
+from scalelb.core.ports import Verdict
+from scalelb.core.request_table import OpenRequest
 from scalelb.lab.experiment import Fleet
 from scalelb.lab.flock import Flock, Member
 from scalelb.lab.model import START_MS
 from scalelb.lab.rows import Row
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import Plan, RequestClass, Settings
-from scalelb.routing.core import Ticket, Verdict
 
 PLAN = Plan(rate_per_s=4.0, burst=12.0)
 SITE = Settings(
@@ -62,8 +64,8 @@
     def __init__(self, run: Run, row: Row) -> None:
         self.run, self.row = run, row
 
-    def answered(
-        self, ticket: Ticket, verdict: Verdict, value: memoryview | None, retry_after_ms: float
+    def on_answer(
+        self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
     ) -> None:
         """The final answer; some of those refused come again."""
         run, row = self.run, self.row
@@ -71,7 +73,7 @@
         if not run.counts():
             return
         run.ends[verdict.value] += 1
-        if verdict is Verdict.REFUSED:
+        if verdict is Verdict.REJECTED:
             held, at = run.meter.stores.get(row.customer, (PLAN.burst, run.kernel.now))
             held = min(PLAN.burst, held + PLAN.rate_per_s * (run.kernel.now - at) / 1000)
             run.ends["refused with half unused"] += held >= max(row.units, PLAN.burst / 2)
@@ -83,7 +85,7 @@
 class Door(Member):
     """One that counts what became of its calls."""
 
-    def count(self, name: int, amount: float, keep_ms: float) -> None:
+    def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
         """A call to the counter, and how late its answer is."""
         run: Any = self.flock
         settings = self.core.settings
@@ -93,9 +95,9 @@
                 run.ends["calls"] += 1
                 run.ends["late"] += outcome is Outcome.TIMEOUT
                 run.ends["over 30 ms"] += took > settings.counter_timeout_ms
-            self.timed(self.core.counted, name, outcome, total, took)
+            self.timed(self.core.counter_replied, counter_key, outcome, total, took)
 
-        run.counter.add(name, amount, settings.counter_wait_ms, told)
+        run.counter.add(counter_key, amount, settings.counter_wait_ms, told)
 
 
 class Run(Flock):
@@ -133,18 +135,16 @@
         row.at = self.now
         limiter: Any = self.limiters[row.limiter]
         self.ends["asked"] += self.counts()
-        limiter.timed(
-            limiter.core.arrive,
-            Client(self, row),
-            (row, 100.0),
-            customer=f"{row.customer:016x}",
-            plan=0,
-            kind=0,
-            expires_ms=3000.0,
+        incoming = IncomingRequest(
+            tenant=f"{row.customer:016x}",
+            plan_index=0,
+            class_index=0,
+            expires_in_ms=3000.0,
             units=row.units,
-            doors=case.doors,
-            first_door=first,
+            sharing_limiters=case.doors,
+            first_limiter=first,
         )
+        limiter.timed(limiter.core.submit, Client(self, row), (row, 100.0), incoming)
 
     def play(self) -> dict[str, float]:
         """To its end."""
--- a/scalelb/lab/flock.py
+++ b/scalelb/lab/flock.py
@@ -15,12 +15,12 @@
 
 import orjson
 
+from scalelb.core.endpoint_overrides import EndpointOverrides
+from scalelb.core.request_table import OpenRequest
 from scalelb.lab.model import START_MS, Limiter, World
 from scalelb.peers import Mesh, MeshSettings
 from scalelb.policy.settings import Plan, Settings
 from scalelb.program.peering import Peering, Whose
-from scalelb.routing.bans import Bans
-from scalelb.routing.core import Ticket
 
 SLACK = 1e-6  # of a store's arithmetic
 
@@ -66,26 +66,26 @@
             drawn = random.Random(f"{flock.seed} {index} {life}")
             settings_ = replace(flock.mesh, name=self.name)
             mesh = Mesh(settings_, drawn.getrandbits(31), flock.now, flock.log)
-            bans = Bans()
-            bans.told(flock.infos, True)
-            self.bans = bans
+            overrides = EndpointOverrides()
+            overrides.on_endpoints(flock.infos, True)
+            self.overrides = overrides
             core, fleet = self.core, Whose.FLEET
             clock = lambda: self.kernel.now  # noqa: E731
-            self.peering = Peering(mesh, core, bans, clock, self.banned, flock.log, fleet, self.flush)
+            self.peering = Peering(mesh, core, overrides, clock, self.banned, flock.log, fleet, self.flush)
             self.drawn = drawn
             self.kernel.after(drawn.uniform(0.0, flock.mesh.tick_ms), self.tick)
 
     def banned(self, some: list[str]) -> None:
         """Words on backends have changed."""
-        self.core.listed(self.bans.entries(some), False)
+        self.core.on_endpoints(self.overrides.effective_entries(some), False)
 
-    def fetch(self, ticket: Ticket, server: str, patience_ms: float) -> None:
+    def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
         """An attempt on its way; the meter sees the first."""
-        row = ticket.payload[0]
+        row = request.payload[0]
         if row.sent < 0:
             self.flock.meter.take(row.customer, row.plan, row.units, self.kernel.now)
         self.flock.seen["attempts"] += 1
-        super().fetch(ticket, server, patience_ms)
+        super().send_attempt(request, endpoint, timeout_ms)
 
     def timed(self, call: Callable[..., Any], *given: Any, **named: Any) -> Any:
         """Nothing comes to one that is dead; what comes to one that stands still waits."""
--- a/scalelb/lab/idempotency.py
+++ b/scalelb/lab/idempotency.py
@@ -12,13 +12,15 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from scalelb.core.incoming_request import IncomingRequest
+from scalelb.core.ports import Verdict
+from scalelb.core.request_table import OpenRequest
 from scalelb.lab.experiment import Fleet
 from scalelb.lab.flock import Flock, Member
 from scalelb.lab.model import START_MS
 from scalelb.policy.endpoints import EndpointState
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
-from scalelb.routing.core import Ticket, Verdict
 
 WINDOW_MS, DEADLINE_MS = 4000.0, 4000.0
 CLASS = RequestClass(1000.0, DEADLINE_MS, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, WINDOW_MS)
@@ -70,26 +72,25 @@
         alive: list[Any] = [m for m in run.limiters if not getattr(m, "dead", True)]
         self.limiter, self.tries = run.drawn.choice(alive), self.tries + 1
         run.open.setdefault(id(self.limiter), {})[self.key] = self
-        self.limiter.timed(
-            self.limiter.core.arrive,
-            self,
-            (None, run.drawn.uniform(10.0, 60.0), self.key),
-            customer="c",
-            plan=0,
-            kind=0,
-            expires_ms=DEADLINE_MS,
+        incoming = IncomingRequest(
+            tenant="c",
+            plan_index=0,
+            class_index=0,
+            expires_in_ms=DEADLINE_MS,
             units=1.0,
-            doors=len(run.limiters),
-            key=self.key if run.case.keys else "",
-            retry=self.tries > 1,
+            sharing_limiters=len(run.limiters),
+            idempotency_key=self.key if run.case.keys else "",
+            is_retry=self.tries > 1,
         )
+        payload = (None, run.drawn.uniform(10.0, 60.0), self.key)
+        self.limiter.timed(self.limiter.core.submit, self, payload, incoming)
 
-    def answered(
-        self, ticket: Ticket, verdict: Verdict, value: memoryview | None, retry_after_ms: float
+    def on_answer(
+        self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
     ) -> None:
         """The final answer."""
         self.run.open.get(id(self.limiter), {}).pop(self.key, None)
-        if verdict is Verdict.REFUSED and self.tries < 4:
+        if verdict is Verdict.REJECTED and self.tries < 4:
             self.run.kernel.after(retry_after_ms, self.ask)
         else:
             self.verdict = verdict.value
@@ -99,23 +100,25 @@
 class Life(Member):
     """A life whose attempts are seen where they run."""
 
-    def fetch(self, ticket: Ticket, server: str, patience_ms: float) -> None:
+    def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
         """No meter: nothing has a quota here."""
-        attempt, link = ticket.attempt, self.world.fleet.link_ms
+        attempt, link = request.attempt_number, self.world.fleet.link_ms
 
         def ended(outcome: Outcome) -> None:
-            self.kernel.after(link, self._fetched, ticket, attempt, outcome)
+            self.kernel.after(link, self._attempt_ended, request, attempt, outcome)
 
         def begin() -> None:  # it is in the kernel's hands: it arrives whether or not its sender lives
-            ticket.handle = self.reached(ticket, server, ended)
+            request.attempt_handle = self.reached(request, endpoint, ended)
 
         self.kernel.after(link, begin)
 
-    def reached(self, ticket: Ticket, server: str, ended: Callable[[Outcome], None]) -> Callable[[], None]:
+    def reached(
+        self, request: OpenRequest, server: str, ended: Callable[[Outcome], None]
+    ) -> Callable[[], None]:
         """An attempt has come to its server: it may run there."""
         run: Any = self.flock
-        run.ran[ticket.payload[2]].add(run.zones[server])
-        return super().reached(ticket, server, ended)
+        run.ran[request.payload[2]].add(run.zones[server])
+        return super().reached(request, server, ended)
 
 
 class Run(Flock):
@@ -189,7 +192,7 @@
         """A limiter's list changes."""
         some = tuple(replace(info, state=state) for info in self.infos if info.zone == zone)
         if not limiter.dead:
-            limiter.timed(limiter.core.listed, some, False)
+            limiter.timed(limiter.core.on_endpoints, some, False)
 
     def play(self) -> dict[str, int]:
         """To its end; how many keys ran in more than one zone."""
--- a/scalelb/lab/model.py
+++ b/scalelb/lab/model.py
@@ -18,6 +18,11 @@
 
 import numpy as np
 
+from scalelb.core.incoming_request import IncomingRequest
+from scalelb.core.lifecycle import Core
+from scalelb.core.limits import CoreLimits
+from scalelb.core.ports import Verdict
+from scalelb.core.request_table import OpenRequest
 from scalelb.fairness import DoorSettings
 from scalelb.lab.experiment import Experiment, Fleet, Variant
 from scalelb.lab.rows import Row
@@ -25,7 +30,6 @@
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import Settings
-from scalelb.routing.core import Core, Limits, Ticket, Verdict
 
 START_MS = 1_800_000_000_000.0  # when every run begins
 FAIL_MS = 2.0  # that a server which fails takes for it
@@ -133,60 +137,62 @@
         self.world, self.kernel, self.index = world, world.kernel, index
         self.cpu_ns = self.longest_ns = self.turns = 0
         self.alarm = inf
-        seed, limits = world.seed * 31 + index, Limits(requests=100_000)
-        self.core = Core(settings, seed, self, lambda: self.kernel.now, limits, door=door)
-        self.core.listed(world.infos, True)
+        seed, limits = world.seed * 31 + index, CoreLimits(max_open_requests=100_000)
+        self.core = Core(settings, seed, self, lambda: self.kernel.now, limits, queue_settings=door)
+        self.core.on_endpoints(world.infos, True)
 
-    def fetch(self, ticket: Ticket, server: str, patience_ms: float) -> None:
+    def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
         """An attempt on its way."""
-        row: Row = ticket.payload[0]
+        row: Row = request.payload[0]
         if row.sent < 0:
-            row.sent, row.server = self.kernel.now - START_MS, server
-        attempt, link = ticket.attempt, self.world.fleet.link_ms
+            row.sent, row.server = self.kernel.now - START_MS, endpoint
+        attempt, link = request.attempt_number, self.world.fleet.link_ms
 
         def ended(outcome: Outcome) -> None:
-            self.kernel.after(link, self._fetched, ticket, attempt, outcome)
+            self.kernel.after(link, self._attempt_ended, request, attempt, outcome)
 
         def begin() -> None:
-            if ticket.out and ticket.attempt == attempt:
-                ticket.handle = self.reached(ticket, server, ended)
+            if request.in_flight and request.attempt_number == attempt:
+                request.attempt_handle = self.reached(request, endpoint, ended)
 
         self.kernel.after(link, begin)
 
-    def reached(self, ticket: Ticket, server: str, ended: Callable[[Outcome], None]) -> Callable[[], None]:
+    def reached(
+        self, request: OpenRequest, server: str, ended: Callable[[Outcome], None]
+    ) -> Callable[[], None]:
         """An attempt has come to its server.  Returns what drops it."""
-        return self.world.servers[server].take(ticket.payload[1], ended)
+        return self.world.servers[server].take(request.payload[1], ended)
 
-    def _fetched(self, ticket: Ticket, attempt: int, outcome: Outcome) -> None:
-        if ticket.out and ticket.attempt == attempt:
-            self.timed(self.core.fetched, ticket, outcome, VALUE if outcome is Outcome.OK else None)
+    def _attempt_ended(self, request: OpenRequest, attempt: int, outcome: Outcome) -> None:
+        if request.in_flight and request.attempt_number == attempt:
+            self.timed(self.core.attempt_ended, request, outcome, VALUE if outcome is Outcome.OK else None)
 
-    def drop(self, ticket: Ticket) -> None:
+    def abandon_attempt(self, request: OpenRequest) -> None:
         """The attempt is given up."""
-        handle, ticket.handle = ticket.handle, None
+        handle, request.attempt_handle = request.attempt_handle, None
         if handle is not None:
             handle()
 
-    def count(self, name: int, amount: float, keep_ms: float) -> None:
+    def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
         """A call to the counter."""
         timeout = self.core.settings.counter_wait_ms
 
         def told(outcome: Outcome, total: float, took: float) -> None:
-            self.timed(self.core.counted, name, outcome, total, took)
+            self.timed(self.core.counter_replied, counter_key, outcome, total, took)
 
-        self.world.counter.add(name, amount, timeout, told)
+        self.world.counter.add(counter_key, amount, timeout, told)
 
-    def probe(self, server: str) -> None:
+    def check_health(self, endpoint: str) -> None:
         """Nothing is probed here."""
 
-    def listed(self, servers: Iterable[Endpoint], full: bool) -> None:
+    def on_endpoints(self, endpoints: Iterable[Endpoint], is_complete: bool) -> None:
         """The model's servers are all known."""
 
-    def wake(self, at: float) -> None:
+    def wake_at(self, due_at: float) -> None:
         """A turn, at that time or as soon as what is ready has been gathered."""
-        if at < self.alarm:
-            self.alarm = max(at, self.kernel.now)
-            self.kernel.at(at, self.turn, self.alarm)
+        if due_at < self.alarm:
+            self.alarm = max(due_at, self.kernel.now)
+            self.kernel.at(due_at, self.turn, self.alarm)
 
     def turn(self, alarm: float) -> None:
         """One turn, its processor time measured; nothing where an earlier alarm took this one's place."""
@@ -257,18 +263,16 @@
         self.rows.append(row)
         limiter, kind = self.limiters[row.limiter], self.settings.request_classes[row.kind]
         work = self.fleet.work_ms[row.kind] * row.units
-        limiter.timed(
-            limiter.core.arrive,
-            Caller(self, row),
-            (row, work),
-            customer=f"{row.customer:016x}",
-            plan=row.plan,
-            kind=row.kind,
-            expires_ms=kind.deadline_ms,
+        incoming = IncomingRequest(
+            tenant=f"{row.customer:016x}",
+            plan_index=row.plan,
+            class_index=row.kind,
+            expires_in_ms=kind.deadline_ms,
             units=row.units,
-            doors=len(self.limiters),
-            retry=row.number > 0,
+            sharing_limiters=len(self.limiters),
+            is_retry=row.number > 0,
         )
+        limiter.timed(limiter.core.submit, Caller(self, row), (row, work), incoming)
 
     def back(self, row: Row) -> None:
         """A refused client comes back when it was told to."""
@@ -299,8 +303,8 @@
     def __init__(self, world: World, row: Row) -> None:
         self.world, self.row = world, row
 
-    def answered(
-        self, ticket: Ticket, verdict: Verdict, value: memoryview | None, retry_after_ms: float
+    def on_answer(
+        self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
     ) -> None:
         """The final answer; a client that obeys comes back once it may."""
         row, clients, world = self.row, self.world.clients, self.world
@@ -308,7 +312,7 @@
             raise AssertionError(f"two final answers: {row}")
         row.ended, row.verdict = world.kernel.now - START_MS, verdict.value
         row.retry_after_ms = retry_after_ms
-        if verdict is Verdict.REFUSED:
+        if verdict is Verdict.REJECTED:
             row.told_beyond = retry_after_ms >= world.settings.max_retry_after_ms
             if clients.obey and row.number + 1 < clients.tries and retry_after_ms:
                 world.back(row)
--- a/scalelb/lab/virtual.py
+++ b/scalelb/lab/virtual.py
@@ -12,6 +12,9 @@
 from dataclasses import replace
 from typing import Any
 
+from scalelb.core.incoming_request import IncomingRequest
+from scalelb.core.ports import Verdict
+from scalelb.core.request_table import OpenRequest
 from scalelb.lab.checkers import CHECKERS, Event, check, quotas
 from scalelb.lab.experiment import CLASSES, Experiment, Fleet, Variant
 from scalelb.lab.flock import Delays, Flock, Member
@@ -19,7 +22,6 @@
 from scalelb.lab.rows import Row
 from scalelb.lab.schedule import Schedule, Step
 from scalelb.lab.traffic import Clients
-from scalelb.routing.core import Ticket, Verdict
 from scalelb.routing.ledger import WINDOW_MS
 
 LIMIT_MS, SETTLE_MS = 120_000.0, 14_000.0  # of virtual time: for a step's event; after the load
@@ -36,11 +38,11 @@
         super().__init__(world, row)
         self.ident, self.limiter = ident, limiter
 
-    def answered(
-        self, ticket: Ticket, verdict: Verdict, value: memoryview | None, retry_after_ms: float
+    def on_answer(
+        self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
     ) -> None:
         """The final answer."""
-        super().answered(ticket, verdict, value, retry_after_ms)
+        super().on_answer(request, verdict, value, retry_after_ms)
         world: Any = self.world
         world.note("answer", ident=self.ident, verdict=verdict.value, made_for=self.ident)
         world.since["answers"] += 1
@@ -50,34 +52,34 @@
 class Recorder(Member):
     """A life whose attempts go into the history."""
 
-    def fetch(self, ticket: Ticket, server: str, patience_ms: float) -> None:
+    def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
         """An attempt goes out."""
         flock: Any = self.flock
-        ident, row = ticket.payload[2], ticket.payload[0]
-        link = f"{self.life} {ticket.attempt}"
+        ident, row = request.payload[2], request.payload[0]
+        link = f"{self.life} {request.attempt_number}"
         customer = f"{row.customer:016x}"
-        flock.note("take", ident=ident, customer=customer, units=row.units, key="", deck=server, link=link)
-        super().fetch(ticket, server, patience_ms)
+        flock.note("take", ident=ident, customer=customer, units=row.units, key="", deck=endpoint, link=link)
+        super().send_attempt(request, endpoint, timeout_ms)
 
     @property
     def life(self) -> int:
         """Which life of its limiter this is."""
         return id(self)
 
-    def _fetched(self, ticket: Ticket, attempt: int, outcome: Any) -> None:
-        if ticket.out and ticket.attempt == attempt and not self.dead:
-            self.gone(ticket, attempt)
-        super()._fetched(ticket, attempt, outcome)
+    def _attempt_ended(self, request: OpenRequest, attempt: int, outcome: Any) -> None:
+        if request.in_flight and request.attempt_number == attempt and not self.dead:
+            self.gone(request, attempt)
+        super()._attempt_ended(request, attempt, outcome)
 
-    def drop(self, ticket: Ticket) -> None:
+    def abandon_attempt(self, request: OpenRequest) -> None:
         """An attempt is given up."""
-        self.gone(ticket, ticket.attempt)
-        super().drop(ticket)
+        self.gone(request, request.attempt_number)
+        super().abandon_attempt(request)
 
-    def gone(self, ticket: Ticket, attempt: int) -> None:
+    def gone(self, request: OpenRequest, attempt: int) -> None:
         """An attempt is out no more."""
         flock: Any = self.flock
-        flock.note("end", ident=ticket.payload[2], deck=ticket.server, link=f"{self.life} {attempt}")
+        flock.note("end", ident=request.payload[2], deck=request.endpoint, link=f"{self.life} {attempt}")
 
 
 class Virtual(Flock):
@@ -163,11 +165,15 @@
                 self.rows.append(row)
                 kind = CLASSES[keyed]
                 caller = Recorded(self, row, ident, limiter.name)
-                limiter.timed(
-                    limiter.core.arrive, caller, (row, 10.0 * row.units, ident),
-                    customer=customer, plan=0, kind=int(keyed), expires_ms=float(str(kind["hard-limit-ms"])),
-                    units=row.units, doors=len(self.limiters),
-                )  # fmt: skip
+                incoming = IncomingRequest(
+                    tenant=customer,
+                    plan_index=0,
+                    class_index=int(keyed),
+                    expires_in_ms=float(str(kind["hard-limit-ms"])),
+                    units=row.units,
+                    sharing_limiters=len(self.limiters),
+                )
+                limiter.timed(limiter.core.submit, caller, (row, 10.0 * row.units, ident), incoming)
         self.kernel.after(self.drawn.expovariate(self.schedule.per_s) * 1000.0, self.ask_next)
 
     # Steps
--- a/scalelb/middleware/asgi.py
+++ b/scalelb/middleware/asgi.py
@@ -6,10 +6,12 @@
 from collections.abc import Awaitable, Callable, Coroutine, Mapping, MutableMapping
 from typing import Any
 
+from scalelb.core.admission import AdmissionDecision, admit
+from scalelb.core.exceptions import OutOfRangeError
+from scalelb.core.incoming_request import IncomingRequest
+from scalelb.core.ports import Verdict
 from scalelb.middleware.host import Host
 from scalelb.protocol import MalformedError, headers
-from scalelb.routing.admission import Decision, admit
-from scalelb.routing.core import OutOfRangeError, Verdict
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
@@ -53,19 +55,19 @@
             await _answer(send, 400, str(error))
             return
         deadline = self.host.settings.request_classes[asked.kind].deadline_ms
-        asking = admit(
-            self.host.core,
-            customer=asked.customer,
-            plan=asked.plan,
-            kind=asked.kind,
-            expires_ms=deadline if asked.expires_ms is None else min(deadline, asked.expires_ms),
+        incoming = IncomingRequest(
+            tenant=asked.customer,
+            plan_index=asked.plan,
+            class_index=asked.kind,
+            expires_in_ms=deadline if asked.expires_ms is None else min(deadline, asked.expires_ms),
             units=asked.units,
-            doors=asked.spread,
-            first_door=asked.first,
-            retry=asked.retry,
-            key=asked.key,
-            client=str((scope.get("client") or ("",))[0]),
+            sharing_limiters=asked.spread,
+            first_limiter=asked.first,
+            is_retry=asked.retry,
+            idempotency_key=asked.key,
+            client_address=str((scope.get("client") or ("",))[0]),
         )
+        asking = admit(self.host.core, incoming)
         early: list[Message] = []
         try:
             decision = await _unless_gone(asking, receive, early)
@@ -76,7 +78,7 @@
             return
         if decision.verdict is Verdict.ADMITTED:
             await self.app(scope, _again(early, receive), send)
-        elif decision.verdict is Verdict.REFUSED:
+        elif decision.verdict is Verdict.REJECTED:
             wait = decision.retry_after_ms
             more = {"retry-after": headers.retry_after(wait), "x-retry-after-ms": str(max(0, round(wait)))}
             await _answer(send, 429, "over the quota or too busy", more)
@@ -84,7 +86,9 @@
             await _answer(send, 503, "no decision in time")
 
 
-async def _unless_gone(asking: Coroutine[Any, Any, Decision], receive: Receive, early: list[Message]) -> Any:
+async def _unless_gone(
+    asking: Coroutine[Any, Any, AdmissionDecision], receive: Receive, early: list[Message]
+) -> Any:
     """The decision; nothing if the client leaves first.  What it sent meanwhile is kept for the app."""
 
     async def until_gone() -> None:
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -67,7 +67,7 @@
             ahead_most=config.ahead_most,
             clients_most=config.sockets // 3,
             keyed=bool(fronts.external_authorization),
-            figures=self.loop.figures,
+            metrics=self.loop.metrics,
         )
         self.succession: Succession | None = None
         if config.shared:
@@ -183,30 +183,30 @@
         self.succession.leave(account)
         self.loop.pool.rest_no_longer()
         self.halve()
-        self.log("relieved", customers=len(account["customers"]), open=len(self.loop.core.tickets))
+        self.log("relieved", customers=len(account["customers"]), open=len(self.loop.core.open_requests))
         self.finish()
 
     def join_bans(self) -> None:
         """Other lives' words on backends."""
         assert self.succession is not None
-        if (words := self.succession.bans()) and (news := self.loop.bans.join(words)):
-            self.succession.tell_bans(self.loop.bans.words)
-            self.loop.banned(news)
+        if (words := self.succession.bans()) and (news := self.loop.overrides.merge(words)):
+            self.succession.tell_bans(self.loop.overrides.by_endpoint)
+            self.loop.overrides_changed(news)
             self.log("bans", joined=news[:20], count=len(news))
 
     def say(self, server: str, out: bool) -> int:
         """Staff's word on a backend: an HTTP status.  Yes only once another life can read it."""
-        bans = self.loop.bans
-        before = bans.words.get(server)
-        if not bans.say(server, out, self.loop.clock()):
+        bans = self.loop.overrides
+        before = bans.by_endpoint.get(server)
+        if not bans.set_by_operator(server, out, self.loop.clock()):
             known = server in bans.listed
             self.log("ban", level="warning", server=server[:80], out=out, what="full" if known else "unknown")
             return 503 if known else 404
-        if bans.words.get(server) != before:
-            if self.succession is not None and not self.succession.tell_bans(bans.words):
-                bans.words.pop(server) if before is None else bans.words.update({server: before})
+        if bans.by_endpoint.get(server) != before:
+            if self.succession is not None and not self.succession.tell_bans(bans.by_endpoint):
+                bans.by_endpoint.pop(server) if before is None else bans.by_endpoint.update({server: before})
                 return 503
-            self.loop.banned([server])
+            self.loop.overrides_changed([server])
             if self.links is not None:
                 self.links.say(server)
             self.log("ban", server=server, out=out)
@@ -214,10 +214,10 @@
 
     def stats(self) -> dict[str, Any]:
         """The figures that staff asks for, as they are now."""
-        figures, pool = self.loop.figures, self.loop.pool
+        metrics, pool = self.loop.metrics, self.loop.pool
         return {
-            "responses": figures.told(self.config.kinds),
-            "tries": sum(figures.tries),
+            "responses": metrics.by_class(self.config.kinds),
+            "tries": sum(metrics.attempts),
             "active": self.door.active(),
             "pool_size": len(pool.backends),
             "pool_ejected": self.loop.ejected(),
@@ -308,14 +308,14 @@
         used = resource.getrusage(resource.RUSAGE_SELF)
         cpu = used.ru_utime + used.ru_stime
         core, gateway = self.loop.core, self.loop.core.gateway
-        tally, core.tally = core.tally, {}
+        tally, core.counts = core.counts, {}
         self.log(
             "tally",
             cpu_ms=round(1000 * (cpu - self.cpu), 1),
             memory_mb=round(used.ru_maxrss / 1024, 1),
             sessions=len(self.door.sessions),
             connections=self.loop.pool.total,
-            open=len(core.tickets),
+            open=len(core.open_requests),
             attempts=len(gateway.attempts),  # as the decisions have it,
             fetches=self.loop.pool.fetching(),  # and as the sockets do
             serving=[len(gateway.servers), len(self.loop.pool.backends)],
@@ -323,7 +323,7 @@
             let_in=round(gateway.open, 3),
             usual_ms=round(gateway.usual, 1),
             counts=dict(sorted(tally.items())),
-            **(core.door.told() if core.door is not None else {}),
+            **(core.queue_adapter.queue.told() if core.queue_adapter is not None else {}),
             **(self.links.told() if self.links is not None else {}),
             **({"admin": {str(s): n for s, n in self.admin.calls.items()}} if self.admin is not None else {}),
         )
@@ -351,7 +351,7 @@
         """SIGTERM: go on for a moment, finish what was taken, end."""
         if self.status is not Status.DRAINING:
             self.show(Status.DRAINING)
-            self.log("stopping", open=len(self.loop.core.tickets))
+            self.log("stopping", open=len(self.loop.core.open_requests))
             if self.succession is not None and self.succession.relieved():
                 self.relieve()
             else:
--- a/scalelb/program/idempotency_records.py
+++ b/scalelb/program/idempotency_records.py
@@ -13,10 +13,10 @@
 from math import isfinite
 from typing import Any
 
+from scalelb.core.lifecycle import Core
 from scalelb.peers import Life
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.settings import DeduplicationScope, Idempotency
-from scalelb.routing.core import Core
 from scalelb.routing.state import Request
 
 KEYED = "k:"
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -4,17 +4,19 @@
 
 import time
 import traceback
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import replace
 from typing import Any
 
+from scalelb.core.endpoint_overrides import EndpointOverrides
+from scalelb.core.lifecycle import Core
+from scalelb.core.limits import CoreLimits
+from scalelb.core.metrics import ClassMetrics
+from scalelb.core.request_table import OpenRequest
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import IDLE_REUSE_RATIO
 from scalelb.program.config import Config, ConfigError, read_entry
-from scalelb.routing.bans import Bans
-from scalelb.routing.core import Core, Limits, Ticket
-from scalelb.routing.figures import Figures
 from scalelb.transport.counter import CounterClient
 from scalelb.transport.fetch import AttemptResult, BackendConnection, Fetch, Piece, Pool, PoolLimits
 from scalelb.transport.session import Held
@@ -32,7 +34,7 @@
 
     def __init__(self, config: Config, reactor: Reactor, clock: Callable[[], float], log: Log) -> None:
         self.config, self.reactor, self.clock, self.log = config, reactor, clock, log
-        limits = Limits(requests=min(4096, config.requests_most))
+        limits = CoreLimits(max_open_requests=min(4096, config.requests_most))
         door = config.fairness
         self.core = Core(config.settings, config.seed, self, clock, limits, self.fault, door)
         each = max(1, config.connections_most // 4)
@@ -46,13 +48,15 @@
         self.counter: CounterClient | None = None
         if config.counter:
             timeout = config.settings.counter_wait_ms
-            self.counter = CounterClient(reactor, clock, config.counter, timeout, self.core.counted, log)
+            self.counter = CounterClient(
+                reactor, clock, config.counter, timeout, self.core.counter_replied, log
+            )
         self.alarm: Delay | None = None
         self.alarm_at = 0.0
         self.addresses: dict[str, str] = {}
-        self.bans = Bans()
+        self.overrides = EndpointOverrides()
         self.kinds = {name: place for place, name in enumerate(config.kinds)}
-        self.figures = Figures(len(config.kinds))
+        self.metrics = ClassMetrics(len(config.kinds))
 
     def fault(self, error: Exception) -> None:
         """A fault of the decisions: it is logged, and the limiter goes on."""
@@ -60,82 +64,89 @@
 
     # Ports of the core
 
-    def fetch(self, ticket: Ticket, server: str, patience_ms: float) -> None:
-        """Begin an attempt."""
-        held: Held = ticket.payload
-        attempt = ticket.attempt
-
-        session: Any = ticket.caller
+    def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
+        """Start an attempt on a pooled connection."""
+        held: Held = request.payload
+        attempt_number = request.attempt_number
+        session: Any = request.caller
 
         def begun(connection: BackendConnection) -> Piece:
-            self.core.begun(ticket)
+            self.core.first_byte_forwarded(request)
             session.begin(held.answer, connection)
             return lambda data: session.piece(held.answer, data)
 
         def ended(result: AttemptResult) -> None:
-            if ticket.out and ticket.attempt == attempt:
-                if ticket.first and result.outcome is not Outcome.OK and not ticket.done:
-                    session.broken(held.answer, ticket)
+            if request.in_flight and request.attempt_number == attempt_number:
+                if request.first_byte_at and result.outcome is not Outcome.OK and not request.is_finished:
+                    session.broken(held.answer, request)
                 usage = result.usage
-                self.core.fetched(
-                    ticket, result.outcome, result.value, result.report, usage.true_units, usage.used_percent
+                self.core.attempt_ended(
+                    request, result.outcome, result.value, result.report, usage.true_units, usage.used_percent
                 )
 
-        until, place = self.clock() + patience_ms, self.kinds[held.call.kind]
+        timeout_at = self.clock() + timeout_ms
+        class_index = self.kinds[held.call.kind]
 
         def write() -> bytes | None:
             if not session.there():  # nobody reads a session that is paused: this is how its end is seen
                 session.abort()
-                self.core.gone(ticket)
-            wanted = ticket.attempt == attempt and self.core.wanted(ticket)
-            return held.call.passed_on(int(until - self.clock())) if wanted else None
+                self.core.cancel(request)
+            if request.attempt_number != attempt_number or not self.core.may_begin(request):
+                return None
+            return held.call.passed_on(int(timeout_at - self.clock()))
 
         def left() -> None:
-            self.figures.tries[place] += 1
+            self.metrics.attempts[class_index] += 1
 
-        fetch = self.pool.fetch(server, write, ended, left=left, begun=begun)
+        fetch = self.pool.fetch(endpoint, write, ended, left=left, begun=begun)
         if not fetch.done:
-            ticket.handle = fetch
+            request.attempt_handle = fetch
 
-    def drop(self, ticket: Ticket) -> None:
-        """Give an attempt up."""
-        fetch, ticket.handle = ticket.handle, None
+    def abandon_attempt(self, request: OpenRequest) -> None:
+        """Give up the attempt in flight."""
+        fetch = request.attempt_handle
+        request.attempt_handle = None
         if isinstance(fetch, Fetch):
             self.pool.drop(fetch)
 
-    def count(self, name: int, amount: float, keep_ms: float) -> None:
+    def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
         """Call the counter."""
         if self.counter is None:
-            self.core.counted(name, Outcome.CONNECT_FAILED, 0.0, 0.0)
+            self.core.counter_replied(counter_key, Outcome.CONNECT_FAILED, 0.0, 0.0)
         else:
-            self.counter.count(name, amount, keep_ms)
+            self.counter.count(counter_key, amount, retention_ms)
 
-    def probe(self, server: str) -> None:
-        """Probe a backend."""
-        began = self.clock()
-        self.pool.probe(server, lambda o, r: self.core.probed(server, o, self.clock() - began, r))
+    def check_health(self, endpoint: str) -> None:
+        """Ask an endpoint for its load report."""
+        started_at = self.clock()
 
-    def listed(self, servers: Iterable[Endpoint], full: bool) -> None:
-        """The list has changed: the pool follows."""
-        infos = list(servers)
-        for info in infos:
-            if info.state is not EndpointState.REMOVED:
-                self.pool.name(info.name, self.addresses[info.name], info.state is EndpointState.SERVING)
-        gone = {info.name for info in infos if info.state is EndpointState.REMOVED}
-        keep = {i.name for i in infos} if full else self.pool.backends.keys()
-        self.pool.keep(keep - gone)
+        def ended(outcome: Outcome, load_report: Mapping[str, float]) -> None:
+            elapsed_ms = self.clock() - started_at
+            self.core.health_check_ended(endpoint, outcome, elapsed_ms, load_report)
+
+        self.pool.probe(endpoint, ended)
 
-    def wake(self, at: float) -> None:
+    def on_endpoints(self, endpoints: Iterable[Endpoint], is_complete: bool) -> None:
+        """The endpoint list has changed: the pool follows."""
+        changed = list(endpoints)
+        for entry in changed:
+            if entry.state is not EndpointState.REMOVED:
+                self.pool.name(entry.name, self.addresses[entry.name], entry.state is EndpointState.SERVING)
+        removed = {entry.name for entry in changed if entry.state is EndpointState.REMOVED}
+        listed = {entry.name for entry in changed} if is_complete else self.pool.backends.keys()
+        self.pool.keep(listed - removed)
+
+    def wake_at(self, due_at: float) -> None:
         """Have the core take its turn at this time."""
-        if not at:  # the alarm for later stays: the turn may well find it right
+        if not due_at:  # the alarm for later stays: the turn may well find it right
             self.reactor.callLater(0, self.core.turn)
             return
         if self.alarm is not None and self.alarm.active():
-            if self.alarm_at <= at:
+            if self.alarm_at <= due_at:
                 return
             self.alarm.cancel()
-        self.alarm_at = at
-        self.alarm = self.reactor.callLater(max(0.0, at - self.clock()) / 1000, self.core.turn)
+        self.alarm_at = due_at
+        self.alarm = self.reactor.callLater(max(0.0, due_at - self.clock()) / 1000, self.core.turn)
 
     # The director
 
@@ -159,19 +170,22 @@
         infos = self.replaced(infos)
         states = {info.name: info.state.value for info in infos}
         self.log("list", generation=generation, full=full, servers=states)
-        self.core.listed(self.bans.told(infos, full), full)
+        self.core.on_endpoints(self.overrides.on_endpoints(infos, full), full)
         known = self.pool.backends
         self.addresses = {name: known[name].address for name in known}
 
-    def banned(self, servers: Iterable[str]) -> None:
-        """Staff's word on some backends has changed: the decisions are told, as of a change of the list."""
-        if entries := self.bans.entries(servers):
-            self.core.listed(entries, False)
+    def overrides_changed(self, servers: Iterable[str]) -> None:
+        """Overrides have changed: the decisions see it as a change of the endpoint list."""
+        if entries := self.overrides.effective_entries(servers):
+            self.core.on_endpoints(entries, False)
 
     def ejected(self) -> int:
         """Backends in the list that are left out, by hand or because they can't be reached."""
         now, servers = self.clock(), self.core.gateway.servers
-        return sum(self.bans.out(n) or (n in servers and servers[n].down > now) for n in self.pool.backends)
+        return sum(
+            self.overrides.is_ejected(n) or (n in servers and servers[n].down > now)
+            for n in self.pool.backends
+        )
 
     def replaced(self, infos: list[Endpoint]) -> list[Endpoint]:
         """Guards a new backend at the address of another: there is one machine at an address, so the other is
--- a/scalelb/program/peer_connections.py
+++ b/scalelb/program/peer_connections.py
@@ -38,7 +38,8 @@
         self.mesh = Mesh(mesh, self.random.getrandbits(31), self.now(), program.log)
         loop, whose = program.loop, Whose.FLEET if settings.fleet_bans else Whose.OWN
         self.peering = Peering(
-            self.mesh, loop.core, loop.bans, loop.clock, loop.banned, program.log, whose, self.flush
+            self.mesh, loop.core, loop.overrides, loop.clock, loop.overrides_changed, program.log, whose,
+            self.flush,
         )  # fmt: skip
         others = {name: at for name, at in settings.members.items() if name != config.name}
         self.links = PeerLinks(
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -24,13 +24,13 @@
 from typing import Any
 from zlib import crc32
 
+from scalelb.core.endpoint_overrides import EndpointOverrides, Override
+from scalelb.core.lifecycle import Core
 from scalelb.fairness.records import Record
 from scalelb.peers import Life, Mesh
 from scalelb.program.idempotency_records import FAR_MS, KEYED
 from scalelb.program.idempotency_records import IdempotencyRecords as Tries
 from scalelb.routing import health
-from scalelb.routing.bans import Bans, Word
-from scalelb.routing.core import Core
 from scalelb.routing.handover import take_out
 from scalelb.routing.keys import homes
 from scalelb.routing.state import Customer
@@ -61,7 +61,7 @@
         self,
         mesh: Mesh,
         core: Core,
-        bans: Bans,
+        bans: EndpointOverrides,
         clock: Callable[[], float],
         banned: Callable[[list[str]], None],
         log: Callable[..., None],
@@ -175,8 +175,8 @@
 
     def say(self, server: str, now: float) -> None:
         """Staff's word on a backend has changed."""
-        if (word := self.bans.words.get(server)) is not None:
-            self.mesh.write("x:" + server, [round(word.at, 3), word.out], now)
+        if (word := self.bans.by_endpoint.get(server)) is not None:
+            self.mesh.write("x:" + server, [round(word.set_at, 3), word.is_ejected], now)
 
     # What comes
 
@@ -213,7 +213,7 @@
             return
         match value:
             case [int() | float() as at, bool(out)] if not isinstance(at, bool) and 0 <= at < 1e15:
-                if self.bans.join([(key[2:], Word(float(at), out))]):
+                if self.bans.merge([(key[2:], Override(float(at), out))]):
                     self.banned([key[2:]])
 
     def _heard(self, life: Life, key: str, says: bool) -> None:
@@ -251,7 +251,7 @@
         distrusted = set(gone[: max(1, int(PART * len(listed)))])
         if distrusted != self.distrusted:
             changed, self.distrusted = distrusted ^ self.distrusted, distrusted
-            self.bans.held = distrusted
+            self.bans.distrusted = distrusted
             self.banned(sorted(changed))
             self.log("heeded", gone=sorted(distrusted))
 
--- a/scalelb/program/succession.py
+++ b/scalelb/program/succession.py
@@ -24,7 +24,7 @@
 
 import orjson
 
-from scalelb.routing.bans import MOST, NAME_MOST, Word
+from scalelb.core.endpoint_overrides import MAX_NAME_LENGTH, MAX_OVERRIDES, Override
 
 FOLDER = "scalelb"
 FORM = 1  # of the files; another one is not read
@@ -119,9 +119,11 @@
         """This life takes nothing new; `what` it leaves to the next."""
         self._write("left", what)
 
-    def tell_bans(self, words: dict[str, Word]) -> bool:
+    def tell_bans(self, words: dict[str, Override]) -> bool:
         """What this life knows of bans.  False where it could not be written."""
-        return self._write("bans", {"words": [[name, word.at, word.out] for name, word in words.items()]})
+        return self._write(
+            "bans", {"words": [[name, word.set_at, word.is_ejected] for name, word in words.items()]}
+        )
 
     def _write(self, kind: str, what: dict[str, Any]) -> bool:
         if not self.number:
@@ -156,11 +158,11 @@
             there = False
         return (self._read(name) or {}) if there else None
 
-    def bans(self) -> list[tuple[str, Word]]:
+    def bans(self) -> list[tuple[str, Override]]:
         """The words of all other lives that have changed since they were last read here."""
         if not self.number:
             return []
-        words: list[tuple[str, Word]] = []
+        words: list[tuple[str, Override]] = []
         try:
             for number in self._numbers("bans"):
                 name = f"bans-{number}"
@@ -173,15 +175,15 @@
             self.log("succession", level="warning", what=str(error))
         return words
 
-    def _words(self, name: str) -> list[tuple[str, Word]]:
+    def _words(self, name: str) -> list[tuple[str, Override]]:
         told = (self._read(name) or {}).get("words")
         words = []
-        for entry in told[: 2 * MOST] if isinstance(told, list) else []:
+        for entry in told[: 2 * MAX_OVERRIDES] if isinstance(told, list) else []:
             match entry:
                 case [str(server), int() | float() as at, bool(out)] if (
-                    not isinstance(at, bool) and 0 <= at < 1e15 and 0 < len(server) <= NAME_MOST
+                    not isinstance(at, bool) and 0 <= at < 1e15 and 0 < len(server) <= MAX_NAME_LENGTH
                 ):
-                    words.append((server, Word(float(at), out)))
+                    words.append((server, Override(float(at), out)))
                 case _:
                     self.log("succession", level="warning", what=f"{name}: an entry can't be read")
         return words
--- a/scalelb/transport/authz/front.py
+++ b/scalelb/transport/authz/front.py
@@ -9,15 +9,18 @@
 from google.rpc import code_pb2, status_pb2
 from grpc_health.v1 import health, health_pb2, health_pb2_grpc
 
+from scalelb.core.admission import AdmissionDecision, admit
+from scalelb.core.exceptions import OutOfRangeError
+from scalelb.core.incoming_request import IncomingRequest
+from scalelb.core.lifecycle import Core
+from scalelb.core.ports import Verdict
 from scalelb.protocol import MalformedError, headers
 from scalelb.protocol.agentcheck import Status
-from scalelb.routing.admission import Decision, admit
-from scalelb.routing.core import Core, OutOfRangeError, Verdict
 from scalelb.transport.authz import external_auth_pb2 as pb
 from scalelb.transport.stream import Log
 
 SERVICE = "envoy.service.auth.v3.Authorization"
-DOOR = 1  # the platform's is 0
+LISTENER = 1  # the platform's is 0
 CALLS_MOST = 512  # at once
 MESSAGE_MOST = 256 * 1024
 CONTEXT_PREFIX = "scalelb."
@@ -53,11 +56,11 @@
     return pb.CheckResponse(status=status_pb2.Status(code=code, message=words), denied_response=denied)
 
 
-def write_decision(decision: Decision) -> pb.CheckResponse:
+def write_decision(decision: AdmissionDecision) -> pb.CheckResponse:
     """The answer: OK, refused with the advice when to come again, or failed."""
     if decision.verdict is Verdict.ADMITTED:
         return pb.CheckResponse(status=status_pb2.Status(code=code_pb2.OK), ok_response=pb.OkHttpResponse())
-    if decision.verdict is Verdict.REFUSED:
+    if decision.verdict is Verdict.REJECTED:
         wait = decision.retry_after_ms
         more = {"retry-after": headers.retry_after(wait), "x-retry-after-ms": str(max(0, round(wait)))}
         return _denied(code_pb2.RESOURCE_EXHAUSTED, 429, "refused: over the quota or too busy", more)
@@ -93,21 +96,21 @@
             expires = min(expires, asked.expires_ms)
         if (left := context.time_remaining()) is not None:
             expires = min(expires, 1000.0 * left)
+        incoming = IncomingRequest(
+            tenant=asked.customer,
+            plan_index=asked.plan,
+            class_index=asked.kind,
+            expires_in_ms=expires,
+            units=asked.units,
+            sharing_limiters=asked.spread,
+            first_limiter=asked.first,
+            is_retry=asked.retry,
+            listener=LISTENER,
+            idempotency_key=asked.key,
+            client_address=_host(context.peer()),
+        )
         try:
-            decision = await admit(
-                self.core,
-                customer=asked.customer,
-                plan=asked.plan,
-                kind=asked.kind,
-                expires_ms=expires,
-                units=asked.units,
-                doors=asked.spread,
-                first_door=asked.first,
-                retry=asked.retry,
-                door=DOOR,
-                key=asked.key,
-                client=_host(context.peer()),
-            )
+            decision = await admit(self.core, incoming)
         except OutOfRangeError as error:
             await self.malformed(context, f"x-quota: {error}")
             raise
--- a/scalelb/transport/fetch.py
+++ b/scalelb/transport/fetch.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
+from scalelb.core.ports import NO_LOAD_REPORT
 from scalelb.policy.events import Outcome
 from scalelb.protocol import MalformedError, resp
-from scalelb.routing.core import NO_REPORT
 from scalelb.transport.stream import Log, Reactor, Stream, dial, host_port
 
 Left = Callable[[], None]
@@ -198,7 +198,7 @@
     return AttemptResult(
         outcome,
         reply.value,
-        resp.read_report(report) if report else NO_REPORT,
+        resp.read_report(report) if report else NO_LOAD_REPORT,
         resp.read_usage(usage) if usage else resp.NO_USAGE,
     )
 
@@ -384,12 +384,12 @@
         def told(result: AttemptResult) -> None:
             value = result.value
             text = bytes(value).partition(b"\r\n")[2].strip() if value is not None else b""
-            ended(result.outcome, resp.read_report(text) if text else NO_REPORT)
+            ended(result.outcome, resp.read_report(text) if text else NO_LOAD_REPORT)
 
         def late() -> None:
             if not fetch.done:
                 self.drop(fetch)
-                ended(Outcome.TIMEOUT, NO_REPORT)
+                ended(Outcome.TIMEOUT, NO_LOAD_REPORT)
 
         fetch = self.fetch(server, lambda: resp.INFO_LOAD, told, probe=True)
         if not fetch.done:
--- a/scalelb/transport/session.py
+++ b/scalelb/transport/session.py
@@ -9,10 +9,14 @@
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import ServerFactory
 
+from scalelb.core.exceptions import OutOfRangeError
+from scalelb.core.incoming_request import IncomingRequest
+from scalelb.core.lifecycle import Core
+from scalelb.core.metrics import ClassMetrics
+from scalelb.core.ports import Verdict
+from scalelb.core.request_table import OpenRequest
 from scalelb.policy.settings import DeduplicationScope, Idempotency
 from scalelb.protocol import MalformedError, resp
-from scalelb.routing.core import Core, OutOfRangeError, Ticket, Verdict
-from scalelb.routing.figures import Figures
 from scalelb.transport.stream import Log, Stream
 
 AHEAD_MOST = 4 * 1024 * 1024  # bytes of a value that are read before its client takes them
@@ -47,11 +51,11 @@
 class Answer:
     """The place of an answer in a session's order."""
 
-    __slots__ = ("data", "feeder", "last", "parts", "sent", "ticket")
+    __slots__ = ("data", "feeder", "last", "parts", "request", "sent")
 
     def __init__(self, data: bytes | None = None, last: bool = False) -> None:
         self.data, self.last = data, last
-        self.ticket: Ticket | None = None
+        self.request: OpenRequest | None = None
         self.feeder: Feeder | None = None  # brings its value in pieces
         self.parts = b""  # that wait for the answers before it
         self.sent = False  # something of it has left
@@ -167,8 +171,8 @@
             self.abort()
             return
         for answer in self.order:
-            if answer.ticket is not None and answer.data is None:
-                self.door.count(answer.ticket.payload.call.kind, self.door.figures.errors)
+            if answer.request is not None and answer.data is None:
+                self.door.count(answer.request.payload.call.kind, self.door.metrics.errors)
         self._give_up()
         for answer in self.order:
             answer.data = FAILED if answer.data is None else answer.data
@@ -176,9 +180,9 @@
 
     def _give_up(self) -> None:
         for answer in self.order:
-            if answer.ticket is not None and answer.data is None:
-                self.door.forget(answer.ticket)
-                self.door.core.gone(answer.ticket)
+            if answer.request is not None and answer.data is None:
+                self.door.forget(answer.request)
+                self.door.core.cancel(answer.request)
 
     def _take(self, command: resp.Command) -> None:
         name = command.name
@@ -198,26 +202,26 @@
         call = resp.Call.read(command)
         if self.door.held + len(call.raw) > self.door.held_most:  # guards the memory; nothing was charged
             settings = self.door.core.settings
-            self.door.count(call.kind, self.door.figures.shed)
+            self.door.count(call.kind, self.door.metrics.rejected)
             self._add(Answer(resp.busy(settings.max_retry_after_ms if settings.sends_retry_after else 0.0)))
             return
         answer = Answer()
-        answer.ticket = self.door.arrive(self, call, name == resp.SAFE, answer)
+        answer.request = self.door.arrive(self, call, name == resp.SAFE, answer)
         self.order.append(answer)
 
-    def answered(
-        self, ticket: Ticket, verdict: Verdict, value: memoryview | None, retry_after_ms: float
+    def on_answer(
+        self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
     ) -> None:
         """The final answer of one request; it waits only for those before it."""
-        self.door.forget(ticket)
-        figures = self.door.figures
-        data, counts = FAILED, figures.errors  # type: tuple[bytes | memoryview, list[int]]
+        self.door.forget(request)
+        metrics = self.door.metrics
+        data, counts = FAILED, metrics.errors  # type: tuple[bytes | memoryview, list[int]]
         if verdict is Verdict.SERVED and value is not None:
-            data, counts = value, figures.ok
-        elif verdict is Verdict.REFUSED:
-            data, counts = resp.busy(retry_after_ms), figures.shed
-        self.door.count(ticket.payload.call.kind, counts)
-        answer = ticket.payload.answer
+            data, counts = value, metrics.ok
+        elif verdict is Verdict.REJECTED:
+            data, counts = resp.busy(retry_after_ms), metrics.rejected
+        self.door.count(request.payload.call.kind, counts)
+        answer = request.payload.answer
         answer.feeder = None
         if self.order and self.order[0] is answer:
             self.order.popleft()
@@ -250,14 +254,14 @@
             answer.parts += data
             answer.feeder.pause()
 
-    def broken(self, answer: Answer, ticket: Ticket) -> None:
+    def broken(self, answer: Answer, request: OpenRequest) -> None:
         """A value that has begun won't be whole.  Where something of it has left, only the connection's end
         can tell the client so."""
         answer.feeder, answer.parts = None, b""
         if answer.sent:
-            self.door.count(ticket.payload.call.kind, self.door.figures.errors)
-            self.door.forget(ticket)
-            self.door.core.gone(ticket)
+            self.door.count(request.payload.call.kind, self.door.metrics.errors)
+            self.door.forget(request)
+            self.door.core.cancel(request)
             answer.data = b""
             self.abort()
 
@@ -328,11 +332,11 @@
         ahead_most: int = 16 * 1024 * 1024,
         clients_most: int = 0,
         keyed: bool = False,
-        figures: Figures | None = None,
+        metrics: ClassMetrics | None = None,
     ) -> None:
         self.keyed = keyed  # whether a request may also come through another door
         self.core, self.ready, self.log = core, ready, log
-        self.figures = figures or Figures(len(kinds))
+        self.metrics = metrics or ClassMetrics(len(kinds))
         self.kinds = {name: place for place, name in enumerate(kinds)}
         self.plans = {name: place for place, name in enumerate(plans)}
         self.sessions: dict[ClientSession, None] = {}
@@ -418,12 +422,12 @@
         """Commands that were taken and are not answered yet."""
         return sum(len(session.order) for session in self.sessions)
 
-    def forget(self, ticket: Ticket) -> None:
+    def forget(self, request: OpenRequest) -> None:
         """A request is finished: its id may come again."""
-        self.idents.discard(ticket.payload.call.ident)
-        self.held -= len(ticket.payload.call.raw)
+        self.idents.discard(request.payload.call.ident)
+        self.held -= len(request.payload.call.raw)
 
-    def arrive(self, session: ClientSession, call: resp.Call, safe: bool, answer: Answer) -> Ticket:
+    def arrive(self, session: ClientSession, call: resp.Call, safe: bool, answer: Answer) -> OpenRequest:
         """Hand one request to the core."""
         kind, plan = self.kinds.get(call.kind), self.plans.get(call.plan)
         if kind is None or plan is None:
@@ -438,26 +442,25 @@
             raise MalformedError("a request of a keyed class without a key")
         if call.ident in self.idents:
             raise MalformedError("the id is that of an open request")
+        incoming = IncomingRequest(
+            tenant=call.customer,
+            plan_index=plan,
+            class_index=kind,
+            expires_in_ms=call.expires_ms,
+            units=call.units,
+            sharing_limiters=call.spread,
+            first_limiter=call.first,
+            is_retry=call.retry,
+            idempotency_key=call.key if self.keyed or group is not DeduplicationScope.ALL else "",
+            client_address=session.client,
+        )
         try:
-            ticket = self.core.arrive(
-                session,
-                Held(call, answer),
-                customer=call.customer,
-                plan=plan,
-                kind=kind,
-                expires_ms=call.expires_ms,
-                units=call.units,
-                doors=call.spread,
-                first_door=call.first,
-                retry=call.retry,
-                key=call.key if self.keyed or group is not DeduplicationScope.ALL else "",
-                client=session.client,
-            )
+            request = self.core.submit(session, Held(call, answer), incoming)
         except OutOfRangeError as error:
             raise MalformedError(str(error)) from None
         self.idents.add(call.ident)
         self.held += len(call.raw)
-        return ticket
+        return request
 
     def shut(self, shared: bool = False) -> None:
         """Take nobody new but those who wait already, and close every session once it owes nothing.  Who
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -9,11 +9,13 @@
 
 from driver import SETTINGS
 
+from scalelb.core.lifecycle import Core
+from scalelb.core.ports import NO_LOAD_REPORT
+from scalelb.core.request_table import OpenRequest
 from scalelb.fairness import DoorSettings
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
-from scalelb.routing.core import NO_REPORT, Core, Ticket
 
 KEYED = RequestClass(
     1000.0, 4000.0, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 4000.0, priority_weight=6.0
@@ -47,7 +49,7 @@
 
 
 class Backside:
-    """The ports of a core whose time is moved by hand; a fetch takes the usual time for its units."""
+    """The ports of a core whose time is moved by hand; an attempt takes the usual time for its units."""
 
     def __init__(
         self,
@@ -58,44 +60,46 @@
     ) -> None:
         self.now = now
         self.counter = counter or Counter()
-        self.core = Core(settings, 7, self, lambda: self.now, door=door)
+        self.core = Core(settings, 7, self, lambda: self.now, queue_settings=door)
         self.wakes: list[float] = [0.0]
         self.due: list[tuple[float, Any]] = []
-        self.fetched: list[tuple[str, str]] = []
-        self.dropped = 0
+        self.sent_attempts: list[tuple[str, str]] = []
+        self.abandoned = 0
         self.true_units = 0.0  # that good answers tell
-        self.used_percent: float | None = None
+        self.quota_used_percent: float | None = None
         info = tuple(Endpoint(f"s{n}", EndpointState.SERVING) for n in range(12))
-        self.core.listed(info, True)
+        self.core.on_endpoints(info, True)
         self.run()
 
-    def fetch(self, ticket: Ticket, server: str, patience_ms: float) -> None:
-        self.fetched.append((str(ticket.ident), server))
-        units, mean = self.core.gateway.requests[ticket.ident].units, self.core.gateway.mean
-        attempt, took = ticket.attempt, self.core.gateway.usual * (0.5 + 0.5 * units / mean)
-        self.due.append((self.now + took, lambda: self._served(ticket, attempt)))
+    def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
+        self.sent_attempts.append((str(request.request_id), endpoint))
+        units, mean = self.core.gateway.requests[request.request_id].units, self.core.gateway.mean
+        attempt, took = request.attempt_number, self.core.gateway.usual * (0.5 + 0.5 * units / mean)
+        self.due.append((self.now + took, lambda: self._served(request, attempt)))
 
-    def _served(self, ticket: Ticket, attempt: int) -> None:
-        if ticket.out and ticket.attempt == attempt:
-            told = self.true_units, self.used_percent
-            self.core.fetched(ticket, Outcome.OK, memoryview(b"$2\r\nok\r\n"), NO_REPORT, *told)
+    def _served(self, request: OpenRequest, attempt: int) -> None:
+        if request.in_flight and request.attempt_number == attempt:
+            told = self.true_units, self.quota_used_percent
+            self.core.attempt_ended(request, Outcome.OK, memoryview(b"$2\r\nok\r\n"), NO_LOAD_REPORT, *told)
 
-    def drop(self, ticket: Ticket) -> None:
-        self.dropped += 1
+    def abandon_attempt(self, request: OpenRequest) -> None:
+        self.abandoned += 1
 
-    def count(self, name: int, amount: float, keep_ms: float) -> None:
-        total, timeout = self.counter.add(name, amount), self.core.settings.counter_timeout_ms
+    def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
+        total, timeout = self.counter.add(counter_key, amount), self.core.settings.counter_timeout_ms
         outcome = Outcome.TIMEOUT if total is None else Outcome.OK
         after = timeout if total is None else 1.0
         told = total or 0.0
-        self.due.append((self.now + after, lambda: self.core.counted(name, outcome, told, after)))
+        self.due.append(
+            (self.now + after, lambda: self.core.counter_replied(counter_key, outcome, told, after))
+        )
 
-    def probe(self, server: str) -> None: ...
+    def check_health(self, endpoint: str) -> None: ...
 
-    def listed(self, servers: Iterable[Endpoint], full: bool) -> None: ...
+    def on_endpoints(self, endpoints: Iterable[Endpoint], is_complete: bool) -> None: ...
 
-    def wake(self, at: float) -> None:
-        self.wakes.append(at)
+    def wake_at(self, due_at: float) -> None:
+        self.wakes.append(due_at)
 
     def run(self, ms: float = 0.0) -> None:
         """Let so much time pass, event by event."""
--- a/tests/test_anybody.py
+++ b/tests/test_anybody.py
@@ -94,7 +94,7 @@
     came = stage.wire("client").value()
     assert came.count(b"$2\r\nok\r\n") == ident, (came, [e for e in stage.logged if e["event"] == "fault"])
     assert not [event for event in stage.logged if event["event"] in ("fault", "malformed")]
-    assert not stage.loop.core.tickets
+    assert not stage.loop.core.open_requests
 
 
 def answer(stage: Stage) -> None:
@@ -115,7 +115,7 @@
                 elif name.startswith("backend") and b"CALL." in wire.value():
                     wire.clear()
                     wire.protocol.dataReceived(SERVED.replace("\n", "\r\n").encode())
-        if not stage.loop.core.tickets:
+        if not stage.loop.core.open_requests:
             return
         stage.wait(10)
 
--- a/tests/test_authorization.py
+++ b/tests/test_authorization.py
@@ -13,6 +13,7 @@
 from grpc_health.v1 import health_pb2, health_pb2_grpc
 from standin import KINDS, PLANS, SITE, Backside, Counter
 
+from scalelb.core.incoming_request import IncomingRequest
 from scalelb.policy.settings import Plan
 from scalelb.protocol.agentcheck import Status
 from scalelb.transport.authz import external_auth_pb2 as pb
@@ -55,12 +56,12 @@
 
     async def taken(self, count: int) -> None:
         """Until so many requests have reached the core."""
-        while self.back.core.idents < count:
+        while self.back.core.open_requests.last_id < count:
             await asyncio.sleep(0.001)
 
     async def ask(self, ms: float = 0.0, **more: str) -> pb.CheckResponse:
         """One question, while so much time passes on the limiter's clock."""
-        before = self.back.core.idents
+        before = self.back.core.open_requests.last_id
         call = self.call(question(**more), timeout=60)
         await self.taken(before + 1)
         self.back.run(ms)
@@ -81,7 +82,7 @@
         answer = await g.ask(x_quota="units=3")
         assert answer.status.code == code_pb2.OK
         assert answer.HasField("ok_response")
-        assert not g.back.fetched
+        assert not g.back.sent_attempts
         assert g.back.core.gateway.customers[ADA].balance < 16.0 - 3.0
 
     play(story)
@@ -128,7 +129,7 @@
             await g.call(question(**bad), timeout=60)
         assert error.value.code() is grpc.StatusCode.INVALID_ARGUMENT
         assert words in (error.value.details() or "")
-        assert not g.back.core.idents
+        assert not g.back.core.open_requests.last_id
         assert (await g.ask()).status.code == code_pb2.OK  # the front lives on
 
     play(story)
@@ -162,7 +163,7 @@
 async def use_up(g: Gateway) -> None:
     """Ask until one is held; it is left waiting."""
     for _ in range(40):
-        before = g.back.core.idents
+        before = g.back.core.open_requests.last_id
         g.waiting = g.call(question(x_quota="units=3", x_timeout="4"), timeout=60)  # type: ignore[attr-defined]
         await g.taken(before + 1)
         g.back.run()
@@ -174,7 +175,7 @@
 
 async def left(g: Gateway) -> None:
     """Until the core knows that the caller has gone."""
-    while not g.back.core.tally.get("gone"):
+    while not g.back.core.counts.get("gone"):
         await asyncio.sleep(0.001)
     g.back.run()
 
@@ -192,7 +193,7 @@
         assert not ada.queue
         assert g.back.counter.calls == calls
         g.back.run(5000.0)
-        assert not g.back.core.tickets
+        assert not g.back.core.open_requests
 
     play(story, Backside(replace(SITE, limiter_count=3), Counter()))
 
@@ -207,7 +208,7 @@
         await asyncio.sleep(0.02)
         g.back.run()
         assert g.back.core.gateway.customers[ADA].balance == after
-        assert g.back.core.tally["admitted"] == 1
+        assert g.back.core.counts["admitted"] == 1
 
     play(story)
 
@@ -215,7 +216,7 @@
 def test_the_callers_deadline_binds() -> None:
     async def story(g: Gateway) -> None:
         await use_up(g)
-        asked = g.back.core.idents
+        asked = g.back.core.open_requests.last_id
         asking = question(x_quota="units=6", x_priority_class="fetch-cards", x_timeout="0.3")
         late = g.call(asking, timeout=60)
         await g.taken(asked + 1)
@@ -225,7 +226,7 @@
         assert answer.denied_response.status.code == 429
         g.back.run(5000.0)
         assert await g.waiting  # type: ignore[attr-defined]
-        assert not g.back.core.tickets
+        assert not g.back.core.open_requests
 
     play(story, Backside(replace(SITE, has_counter=False, limiter_count=3)))
 
@@ -239,7 +240,7 @@
         await left(g)
         g.back.run(5000.0)
         assert await g.waiting  # type: ignore[attr-defined]
-        assert not g.back.core.tickets
+        assert not g.back.core.open_requests
 
     play(story, Backside(replace(SITE, has_counter=False, limiter_count=3)))
 
@@ -249,7 +250,7 @@
         g.back.counter.silent = True
         for _ in range(12):
             await g.ask(1000.0, x_quota="units=6")
-        tally = g.back.core.tally
+        tally = g.back.core.counts
         assert tally["counter timeout"] > 0
         assert tally["admitted"] >= 4
 
@@ -306,9 +307,10 @@
 
 def through_platform(back: Backside, key: str) -> None:
     class Client:
-        def answered(self, *_: Any) -> None: ...
+        def on_answer(self, *_: Any) -> None: ...
 
-    back.core.arrive(
-        Client(), None, customer=ADA, plan=0, kind=1, expires_ms=4000.0, units=2.0, doors=1, key=key
+    incoming = IncomingRequest(
+        tenant=ADA, plan_index=0, class_index=1, expires_in_ms=4000.0, units=2.0, idempotency_key=key
     )
+    back.core.submit(Client(), None, incoming)
     back.run()
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 from scenario import call
 
+from scalelb.core.ports import NO_LOAD_REPORT
 from scalelb.protocol import MalformedError, agentcheck, headers, http, resp
 from scalelb.protocol.agentcheck import Status
 from scalelb.protocol.resp import NO_USAGE, UsageFigures
-from scalelb.routing.core import NO_REPORT
 from scalelb.transport.fetch import AttemptResult, read_outcome
 
 ROOT = Path(__file__).parent.parent
@@ -61,7 +61,7 @@
         assert (result.outcome.value, result.report) == ("ok" if said == "one" else said, figures)
         assert said != "one" or (result.value is not None and bytes(result.value) == b"$3\r\none\r\n")
         assert not reader.extra
-    assert NO_REPORT == {}
+    assert NO_LOAD_REPORT == {}
 
 
 SPOILT = [
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,9 +8,12 @@
 import pytest
 from standin import SITE, Backside
 
+from scalelb.core.incoming_request import IncomingRequest
+from scalelb.core.limits import CoreLimits
+from scalelb.core.ports import Verdict
+from scalelb.core.timers import ATTEMPT_TIMEOUT
 from scalelb.policy.actions import Action
 from scalelb.policy.events import AttemptEnded, Event, Outcome
-from scalelb.routing.core import Limits, Verdict
 
 
 class Client:
@@ -19,23 +22,22 @@
     def __init__(self) -> None:
         self.answers: list[tuple[Verdict, float]] = []
 
-    def answered(self, ticket: Any, verdict: Verdict, value: Any, retry_after_ms: float) -> None:
+    def on_answer(self, request: Any, verdict: Verdict, value: Any, retry_after_ms: float) -> None:
         self.answers.append((verdict, retry_after_ms))
 
 
-def ask(back: Backside, units: float = 1.0, **more: Any) -> tuple[Client, Any]:
+def ask(back: Backside, units: float = 1.0, admission_only: bool = False, **more: Any) -> tuple[Client, Any]:
     client = Client()
-    given: dict[str, Any] = {"customer": "ad", "plan": 0, "kind": 0, "expires_ms": 7000.0, "units": units}
-    given |= more
-    return client, back.core.arrive(client, None, **given)
+    usual = IncomingRequest(tenant="ad", plan_index=0, class_index=0, expires_in_ms=7000.0, units=units)
+    return client, back.core.submit(client, None, usual._replace(**more), admission_only)
 
 
 def test_answers_come_after_the_call_that_hands_the_request_in() -> None:
     back = Backside()
-    client, _ = ask(back, expires_ms=1.0)
+    client, _ = ask(back, expires_in_ms=1.0)
     assert not client.answers
     back.run()
-    assert [verdict for verdict, _ in client.answers] == [Verdict.REFUSED]
+    assert [verdict for verdict, _ in client.answers] == [Verdict.REJECTED]
 
 
 def test_timers_of_finished_requests_wake_nobody() -> None:
@@ -44,74 +46,74 @@
     for _ in range(5):
         ask(back)
     back.run(1000.0)
-    assert not back.core.tickets
+    assert not back.core.open_requests
     back.run(3000.0)
     back.wakes.clear()
     back.core.turn()
     assert all(at <= back.now + 1000.0 for at in back.wakes)  # house-keeping alone
-    assert not [timer for timer in back.core.timers if timer[3] >= 0]
+    assert not [timer for timer in back.core.timers.entries if timer[2] == ATTEMPT_TIMEOUT]
 
 
 @pytest.mark.parametrize("out", [False, True], ids=["held", "sent"])
 def test_a_client_that_left_is_told_nothing(out: bool) -> None:
     back = Backside(replace(SITE, has_counter=False, cancels_attempts=True))
-    client, ticket = ask(back)
+    client, request = ask(back)
     if out:
         back.run()
-        assert ticket.out
-    back.core.gone(ticket)
+        assert request.in_flight
+    back.core.cancel(request)
     back.run(10_000.0)
     assert not client.answers
-    assert not back.core.tickets
-    assert back.dropped == out
+    assert not back.core.open_requests
+    assert back.abandoned == out
 
 
 def test_what_is_decided_for_a_client_that_left_in_the_same_turn_is_not_sent() -> None:
     back = Backside(replace(SITE, has_counter=False))
-    client, ticket = ask(back)
-    back.core.gone(ticket)
+    client, request = ask(back)
+    back.core.cancel(request)
     back.run()
-    assert not back.fetched
+    assert not back.sent_attempts
     assert not client.answers
 
 
 def test_a_deadline_with_an_attempt_out_is_answered_before_it() -> None:
     back = Backside(replace(SITE, has_counter=False))
-    client, ticket = ask(back, kind=1, expires_ms=3000.0)
+    client, request = ask(back, class_index=1, expires_in_ms=3000.0)
     back.run()
     back.due.clear()  # the backend is silent
     back.run(2990.0)
     assert len(client.answers) == 1
-    assert not ticket.out
-    assert not back.core.tickets
+    assert not request.in_flight
+    assert not back.core.open_requests
 
 
 def test_a_decision_that_never_comes_ends_as_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the rule of one final answer against a fault of the decisions.
     back = Backside()
     monkeypatch.setattr(back.core.gateway, "take", lambda now, events: [])
-    client, _ = ask(back, expires_ms=500.0)
+    client, _ = ask(back, expires_in_ms=500.0)
     back.run(600.0)
     assert [verdict for verdict, _ in client.answers] == [Verdict.FAILED]
 
 
 def test_open_requests_are_bounded() -> None:
     back = Backside()
-    back.core.limits = Limits(requests=3)
+    back.core.limits = CoreLimits(max_open_requests=3)
     clients = [ask(back, units=6.0)[0] for _ in range(10)]
-    assert len(back.core.tickets) == 10  # told apart before the turn, not during the call
+    assert len(back.core.open_requests) == 10  # told apart before the turn, not during the call
     back.run()
-    refused = [c for c in clients if [v for v, _ in c.answers] == [Verdict.REFUSED]]
+    refused = [c for c in clients if [v for v, _ in c.answers] == [Verdict.REJECTED]]
     assert len(refused) >= 7
     assert all(c.answers[0][1] > 0 for c in refused)  # and are told when to come back
 
 
 def test_a_second_word_on_an_attempt_is_ignored() -> None:
     back = Backside(replace(SITE, has_counter=False))
-    client, ticket = ask(back)
+    client, request = ask(back)
     back.run()
     for _ in range(2):
-        back.core.fetched(ticket, Outcome.OK, memoryview(b"$2\r\nok\r\n"))
+        back.core.attempt_ended(request, Outcome.OK, memoryview(b"$2\r\nok\r\n"))
     back.run(1000.0)
     assert [verdict for verdict, _ in client.answers] == [Verdict.SERVED]
 
@@ -139,7 +141,7 @@
         return take(now, events)
 
     monkeypatch.setattr(back.core.gateway, "take", seen)
-    back.true_units, back.used_percent = told, 37.0
+    back.true_units, back.quota_used_percent = told, 37.0
     ask(back, units=4.0)
     back.run(1000.0)
     assert [(end.true_units, end.quota_used_percent) for end in ends] == [(taken, 37.0)]
@@ -147,9 +149,9 @@
 
 def test_an_attempt_that_fails_settles_nothing() -> None:
     back = Backside(replace(SITE, has_counter=False, settles_true_units=True))
-    _, ticket = ask(back, units=1.0)
+    _, request = ask(back, units=1.0)
     back.run()
     before = back.core.gateway.mean
-    back.core.fetched(ticket, Outcome.ERROR, units=6.0, used_percent=90.0)
+    back.core.attempt_ended(request, Outcome.ERROR, true_units=6.0, quota_used_percent=90.0)
     back.core.turn()
     assert back.core.gateway.mean == before
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -38,8 +38,8 @@
         session.pause()
         session.hung_up = lambda: True
     stage.play(f"{then}\n release backend\n backend silent\n wait 3100")
-    assert stage.loop.core.tally.get("connect failed", 0) == 0  # nothing is held against the backend
-    assert not stage.loop.core.tickets
+    assert stage.loop.core.counts.get("connect failed", 0) == 0  # nothing is held against the backend
+    assert not stage.loop.core.open_requests
     assert not stage.loop.core.gateway.requests
 
 
--- a/tests/test_evening.py
+++ b/tests/test_evening.py
@@ -37,7 +37,7 @@
 
 
 async def arrived(back: Backside, count: int) -> None:
-    while back.core.idents < count:
+    while back.core.open_requests.last_id < count:
         await asyncio.sleep(0)
 
 
--- a/tests/test_fair_door.py
+++ b/tests/test_fair_door.py
@@ -14,11 +14,11 @@
 from test_core import Client, ask
 from test_middleware import HEADERS
 
+from scalelb.core.ports import Verdict
 from scalelb.fairness import DoorSettings
 from scalelb.middleware import Host, LimiterMiddleware
 from scalelb.program.config import ConfigError, read_door
 from scalelb.routing.control import HOT_MOST, VISITS
-from scalelb.routing.core import Verdict
 
 ONE = DoorSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
 TWO = DoorSettings(start_requests=2.0, least_requests=2.0, most_requests=2.0)
@@ -47,7 +47,8 @@
     stage.play("client1 send {call(1)}\nbackend expect 0000000000000001")
     stage.play("client2 send {call(2)}\nbackend2 expect 0000000000000002")
     stage.play(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 silent")
-    assert stage.loop.core.door is not None and list(stage.loop.core.door.held) == [3]
+    adapter = stage.loop.core.queue_adapter
+    assert adapter is not None and list(adapter.queue.held) == [3]
 
 
 @pytest.mark.parametrize("story", STORIES.values(), ids=STORIES.keys())
@@ -55,8 +56,8 @@
     stage = Stage(fairness=TWO, has_counter=False)
     held_at(stage)
     stage.play(story)
-    door = stage.loop.core.door
-    assert door is not None and not door.held and not door.queue.flows
+    adapter = stage.loop.core.queue_adapter
+    assert adapter is not None and not adapter.queue.held and not adapter.queue.queue.flows
 
 
 def test_one_that_can_not_be_in_time_any_more_is_refused_then_and_never_sent() -> None:
@@ -88,12 +89,13 @@
 
 def test_a_full_core_answers_each_once_whatever_the_door_does() -> None:
     back = Backside(SITE_ONE, door=replace(ONE, held_most=5))
-    clients = [ask(back, customer=f"c{n % 7}")[0] for n in range(300)]
+    clients = [ask(back, tenant=f"c{n % 7}")[0] for n in range(300)]
     back.run(10_000.0)
     assert all(len(client.answers) == 1 for client in clients)
-    door = back.core.door
-    assert door is not None and not (door.held or door.inside or door.waiting or door.out)
-    assert not back.core.tickets
+    assert back.core.queue_adapter is not None
+    door = back.core.queue_adapter.queue
+    assert not (door.held or door.inside or door.waiting or door.out)
+    assert not back.core.open_requests
 
 
 @pytest.mark.parametrize("through", [1, 2])
@@ -102,16 +104,17 @@
     for _ in range(2):
         ask(back)
         back.run()
-    keyed: dict[str, Any] = {"kind": 1, "key": "k1", "units": 2.0, "expires_ms": 4000.0}
-    first, ticket = ask(back, door=0, **keyed)
+    keyed: dict[str, Any] = {"class_index": 1, "idempotency_key": "k1", "units": 2.0, "expires_in_ms": 4000.0}
+    first, request = ask(back, listener=0, **keyed)
     back.run()
-    assert back.core.door is not None and ticket.ident in back.core.door.held
+    adapter = back.core.queue_adapter
+    assert adapter is not None and request.request_id in adapter.queue.held
     before = back.core.gateway.customers["ad"].balance
-    second, _ = ask(back, door=through - 1, retry=True, **keyed)
+    second, _ = ask(back, listener=through - 1, is_retry=True, **keyed)
     back.run()
     spent = before - back.core.gateway.customers["ad"].balance
     assert spent == 0.0  # both wait: nothing is charged before it goes on
-    door = back.core.door
+    door = adapter.queue
     charged: list[float] = []
     charge = back.core.gateway._charge
 
@@ -127,7 +130,7 @@
 
 def test_admissions_wait_at_the_same_door_and_count_as_out_for_the_usual_time() -> None:
     back = Backside(SITE_ONE, door=ONE)
-    clients = [ask(back, admission=True)[0] for _ in range(4)]
+    clients = [ask(back, admission_only=True)[0] for _ in range(4)]
     back.run()
     answered = [len(client.answers) for client in clients]
     assert sum(answered) < 4
@@ -140,14 +143,14 @@
     for _ in range(2):
         ask(back)
         back.run()
-    client, ticket = ask(back, units=3.0)
+    client, request = ask(back, units=3.0)
     back.run()
     balance = back.core.gateway.customers["ad"].balance
-    back.core.gone(ticket)
+    back.core.cancel(request)
     back.run(20.0)
     assert not client.answers
     assert back.core.gateway.customers["ad"].balance >= balance
-    assert not any(ident == str(ticket.ident) for ident, _ in back.fetched)
+    assert not any(ident == str(request.request_id) for ident, _ in back.sent_attempts)
 
 
 def test_the_middleware_asks_the_same_door() -> None:
@@ -175,7 +178,8 @@
         asked = [asyncio.ensure_future(one()) for _ in range(4)]
         for _ in range(20):
             await asyncio.sleep(0)
-        assert host.core.door is not None and host.core.door.held and len(seen) < 4
+        adapter = host.core.queue_adapter
+        assert adapter is not None and adapter.queue.held and len(seen) < 4
         for _ in range(100):
             now[0] += 10.0
             host.core.turn()
@@ -191,7 +195,7 @@
     clients: list[Client] = [ask(back, units=2.0)[0] for _ in range(40)]
     back.run()
     answers = [answer for client in clients for answer in client.answers]
-    told = sorted(wait for verdict, wait in answers if verdict is Verdict.REFUSED)
+    told = sorted(wait for verdict, wait in answers if verdict is Verdict.REJECTED)
     assert len(told) > 10
     gaps = [after - before for before, after in pairwise(told)]
     assert min(gaps) >= 499.0  # 2 units at 4 a second
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports point one way: program, wirehost and middleware over transport over protocol and routing."""
+"""Imports point one way: program, wirehost, middleware over transport over protocol and core over routing."""
 
 from __future__ import annotations
 
@@ -19,16 +19,18 @@
     "agreement": {"agreement"},
     "policy": {"policy"},
     "routing": {"fairness", "overload", "policy", "routing"},
+    "core": {"core", "fairness", "policy", "routing"},
     "protocol": {"protocol"},
-    "transport": {"policy", "routing", "protocol", "transport"},
-    "middleware": {"fairness", "policy", "routing", "protocol", "middleware"},
+    "transport": {"core", "policy", "protocol", "transport"},
+    "middleware": {"core", "fairness", "policy", "protocol", "middleware"},
     "peers": {"peers"},
     "program": {
-        "agreement", "fairness", "overload", "peers", "policy", "routing", "protocol", "transport", "program",
+        "agreement", "core", "fairness", "overload", "peers", "policy", "routing", "protocol", "transport",
+        "program",
     },
     "lab": {
-        "agreement", "fairness", "overload", "peers", "policy", "routing", "protocol", "transport", "program",
-        "lab",
+        "agreement", "core", "fairness", "overload", "peers", "policy", "routing", "protocol", "transport",
+        "program", "lab",
     },
     "__main__": {"lab"},
     "wirehost": {"policy", "routing", "program", "wirehost"},
@@ -39,6 +41,7 @@
     "fairness": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "policy": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "routing": {"twisted", "socket", "grpc", "httptools", "orjson"},
+    "core": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "protocol": {"twisted", "socket"},
     "agreement": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "overload": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -106,7 +106,7 @@
         await app.ask()
         await asyncio.sleep(0.01)
         assert app.added
-        assert app.host.core.tally["counter ok"] == len(app.added)
+        assert app.host.core.counts["counter ok"] == len(app.added)
 
     play(story, has_counter=True)
 
@@ -134,6 +134,6 @@
         await held
         app.host.core.turn()
         assert (ada.balance, len(ada.queue)) == (before, 0)
-        assert not app.host.core.tickets
+        assert not app.host.core.open_requests
 
     play(story)
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -348,12 +348,12 @@
 @pytest.mark.parametrize("said", ["Content-Length: 3\\n\\nnan", "Content-Length: x", "Content-Length: 0\\n"])
 def test_a_spoilt_answer_of_the_counter_is_told_at_once_and_ends_its_connection(said: str) -> None:
     stage = Stage()
-    stage.loop.count(7, 2.0, 1000.0)
+    stage.loop.add_to_counter(7, 2.0, 1000.0)
     stage.play(f"wait 0\n counter expect POST\n counter send HTTP/1.1 200 OK\\n{said}\\n\n counter closed")
-    assert stage.loop.core.tally == {"counter error": 1}
-    stage.loop.count(7, 2.0, 1000.0)
+    assert stage.loop.core.counts == {"counter error": 1}
+    stage.loop.add_to_counter(7, 2.0, 1000.0)
     stage.play("wait 0\n counter2 send HTTP/1.1 100 Continue\\n\\nHTTP/1.1 200 OK\\nContent-Length: 1\\n\\n6")
-    assert stage.loop.core.tally == {"counter error": 1, "counter ok": 1}
+    assert stage.loop.core.counts == {"counter error": 1, "counter ok": 1}
 
 
 def test_a_backend_is_gone_once_another_has_its_address() -> None:
@@ -407,7 +407,7 @@
         for wire in stage.net.wires.get("backend", []) + stage.net.wires.get("counter", []):
             wire.end()
     assert not gateway.customers and not gateway.active and not gateway.requests and not gateway.attempts
-    assert not gateway.calls and not stage.loop.core.tickets and not stage.loop.core.timers[2:]
+    assert not gateway.calls and not stage.loop.core.open_requests and not stage.loop.core.timers.entries[2:]
     assert not stage.door.idents and not stage.door.sessions and stage.door.held == 0
     counter: Any = stage.loop.counter
     assert stage.loop.pool.total == 0 and not counter.open and not counter.out
@@ -551,7 +551,7 @@
     stage.reload(director="127.0.0.1:7001", counter="127.0.0.1:7101")
     assert stage.logged[-1] == {"event": "reloaded", "moved": ["discovery", "counter"], "at_next_start": []}
     stage.play(MOVES[name])
-    stage.loop.count(7, 2.0, 1000.0)  # the idle connection to the old address is left
+    stage.loop.add_to_counter(7, 2.0, 1000.0)  # the idle connection to the old address is left
     stage.play("counter closed\n counter@1 expect Host: 127.0.0.1:7101")
 
 
@@ -561,7 +561,7 @@
     stage.reload(director="127.0.0.1:7001", counter="127.0.0.1:7101")
     stage.reload(director="127.0.0.1:7000", counter="127.0.0.1:7100")  # and twice in a row
     stage.play("counter send HTTP/1.1 200 OK\\nContent-Length: 1\\n\\n6\n wait 10")
-    assert stage.loop.core.tally["counter ok"] == 1
+    assert stage.loop.core.counts["counter ok"] == 1
     stage.play("backend send {SERVED}\n client expect $2\\nok\n director1 closed\n director2 expect GET")
     stage.program.stop()
     stage.play("wait 800\n client closed\n wait 50")
@@ -571,10 +571,10 @@
 def test_a_counter_call_that_waits_for_its_connection_moves_with_the_counter() -> None:
     stage = Stage(backends=1)
     stage.net.refuse.add("counter")
-    stage.loop.count(7, 2.0, 1000.0)
+    stage.loop.add_to_counter(7, 2.0, 1000.0)
     stage.loop.move_counter("127.0.0.1:7101")
     stage.play("wait 5\n counter@1 expect POST /v2/numbers/7?delta=2&life_ms=1000\n")
-    assert "counter connect failed" not in stage.loop.core.tally
+    assert "counter connect failed" not in stage.loop.core.counts
 
 
 def test_a_faulty_file_is_logged_by_its_key_and_the_old_one_stays() -> None:
@@ -604,7 +604,7 @@
     stage = Stage()
     stage.play(f"client send {bad}\n client expect -ERR\n client closed")
     stage.play("client2 send *1\\n$4\\nPING\\n\n client2 expect +PONG")
-    assert not stage.loop.core.tickets
+    assert not stage.loop.core.open_requests
     assert not stage.loop.core.gateway.customers  # nothing of it was charged
 
 
@@ -634,7 +634,7 @@
     said = stage.wire("client").value().decode()
     assert said.startswith("-ERR malformed: ") and "longer than its length" not in said
     assert stage.wire("client").ended
-    assert not stage.loop.core.tickets
+    assert not stage.loop.core.open_requests
     assert not stage.loop.core.gateway.customers
     assert "backend" not in stage.net.wires
 
@@ -646,7 +646,7 @@
     wires[0].protocol.flushed = False  # the kernel took a part of it
     wires[0].end()
     assert "could not" not in name
-    assert stage.loop.core.tally["connect failed"] == 1
+    assert stage.loop.core.counts["connect failed"] == 1
 
 
 def test_sessions_are_bounded_and_the_idle_make_room() -> None:
@@ -762,7 +762,7 @@
     stage = Stage()
     stage.wire("client")
     stage.play(LIMITS[name])
-    assert not stage.loop.core.tickets
+    assert not stage.loop.core.open_requests
     assert not stage.door.idents
     assert stage.door.held == 0
 
@@ -835,7 +835,7 @@
         stage.play(f"backend send *3\\n${length}\\n{'v' * length}")
         stage.play(f"backend send \\n{told}\n backend send $-1\\n")
         [customer] = stage.loop.core.gateway.customers.values()
-        assert stage.loop.core.tally["served"] == 1 and not stage.loop.core.gateway.attempts
+        assert stage.loop.core.counts["served"] == 1 and not stage.loop.core.gateway.attempts
         left.append(customer.balance)
     assert left[1] - left[0] == pytest.approx(5.0)
     assert left[2] == left[0]
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 from scenario import Stage
 
+from scalelb.core.endpoint_overrides import MAX_OVERRIDES, EndpointOverrides, Override
 from scalelb.fairness.records import Record
 from scalelb.policy.events import EndpointsListed
 from scalelb.policy.settings import Plan
-from scalelb.routing.bans import MOST, Bans, Word
 from scalelb.routing.handover import take_in, take_out
 from scalelb.transport.admin import CALLERS_MOST, AdminDoor
 
@@ -233,31 +233,33 @@
     assert sum(not caller.wire.ended for caller in silent) == CALLERS_MOST - 1
 
 
-words = st.dictionaries(st.sampled_from("abcd"), st.builds(Word, st.integers(0, 3).map(float), st.booleans()))
+words = st.dictionaries(
+    st.sampled_from("abcd"), st.builds(Override, st.integers(0, 3).map(float), st.booleans())
+)
 
 
 @given(words, words, words)
 def test_bans_join_in_any_order_and_more_than_once(a: Any, b: Any, c: Any) -> None:
-    def joined(*copies: Any) -> dict[str, Word]:
-        bans = Bans()
+    def joined(*copies: Any) -> dict[str, Override]:
+        bans = EndpointOverrides()
         for copy in copies:
-            bans.join(copy.items())
-        return bans.words
+            bans.merge(copy.items())
+        return bans.by_endpoint
 
     assert joined(a, b, c) == joined(c, b, a, b, a)
 
 
 def test_bans_are_bounded_and_the_one_that_bans_nobody_gives_way() -> None:
-    bans = Bans()
-    bans.told(servers(MOST + 2), True)
+    bans = EndpointOverrides()
+    bans.on_endpoints(servers(MAX_OVERRIDES + 2), True)
     names = list(bans.listed)
-    assert all(bans.say(name, True, 1.0) for name in names[:MOST])
-    assert not bans.say(names[MOST], True, 2.0)
-    assert bans.say(names[0], False, 3.0)
-    assert bans.say(names[MOST], True, 4.0)
-    assert len(bans.words) == MOST
-    assert bans.out(names[MOST])
-    assert not bans.out(names[0])
+    assert all(bans.set_by_operator(name, True, 1.0) for name in names[:MAX_OVERRIDES])
+    assert not bans.set_by_operator(names[MAX_OVERRIDES], True, 2.0)
+    assert bans.set_by_operator(names[0], False, 3.0)
+    assert bans.set_by_operator(names[MAX_OVERRIDES], True, 4.0)
+    assert len(bans.by_endpoint) == MAX_OVERRIDES
+    assert bans.is_ejected(names[MAX_OVERRIDES])
+    assert not bans.is_ejected(names[0])
 
 
 def test_what_a_life_leaves_is_spent_by_one_of_the_two() -> None:
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -9,6 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from scalelb.core.incoming_request import IncomingRequest
 from scalelb.lab.idempotency import BEGIN_MS, CLASS, Case, Run
 from scalelb.lab.model import START_MS
 from scalelb.peers import Life
@@ -50,13 +51,14 @@
     answers: list[str] = []
 
     class Caller:
-        def answered(self, ticket: Any, verdict: Any, value: Any, retry_after_ms: float) -> None:
+        def on_answer(self, request: Any, verdict: Any, value: Any, retry_after_ms: float) -> None:
             answers.append(verdict.value)
 
-    found.timed(
-        found.core.arrive, Caller(), (None, 50.0, key), customer="c", plan=0, kind=0, expires_ms=900.0,
-        units=1.0, doors=8, key=key, **fields,
+    incoming = IncomingRequest(
+        tenant="c", plan_index=0, class_index=0, expires_in_ms=900.0, units=1.0, sharing_limiters=8,
+        idempotency_key=key, **fields,
     )  # fmt: skip
+    found.timed(found.core.submit, Caller(), (None, 50.0, key), incoming)
     return answers
 
 
