--- a/scalelb/lab/flock.py
+++ b/scalelb/lab/flock.py
@@ -71,11 +71,13 @@
             self.overrides = overrides
             core, fleet = self.core, Whose.FLEET
             clock = lambda: self.kernel.now  # noqa: E731
-            self.peering = Peering(mesh, core, overrides, clock, self.banned, flock.log, fleet, self.flush)
+            self.peering = Peering(
+                mesh, core, overrides, clock, self.overrides_changed, flock.log, fleet, self.flush
+            )
             self.drawn = drawn
             self.kernel.after(drawn.uniform(0.0, flock.mesh.tick_ms), self.tick)
 
-    def banned(self, some: list[str]) -> None:
+    def overrides_changed(self, some: list[str]) -> None:
         """Words on backends have changed."""
         self.core.on_endpoints(self.overrides.effective_entries(some), False)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -434,7 +434,7 @@
         other: Any = member
         gateway = other.core.gateway
         if other is not liar:
-            assert not other.bans.held
+            assert not other.overrides.distrusted
             assert len(gateway.serving) == len(found.servers)
             assert not any(server.down for server in gateway.servers.values())
         assert max((c.balance for c in gateway.customers.values()), default=0.0) <= PLAN.burst
@@ -489,14 +489,14 @@
 def test_bans_are_known_to_the_next_life() -> None:
     found = flock(3, seconds=0.1)
     member: Any = found.limiters[1]
-    assert member.bans.say("deck-2", True, found.kernel.now)
+    assert member.overrides.set_by_operator("deck-2", True, found.kernel.now)
     member.peering.say("deck-2", found.now)
     found.run(found.now + 300)
     found.kill(1, 200.0)
     found.run(found.now + 2000)
     new: Any = found.limiters[1]
     assert new is not member
-    assert new.bans.out("deck-2")
+    assert new.overrides.is_ejected("deck-2")
     assert "deck-2" not in new.core.gateway.servers
 
 
