--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -19,7 +19,7 @@
 from scalelb.program.config import Config, ConfigError, compare, read_config
 from scalelb.program.log import Bounded, log
 from scalelb.program.loop import Loop, unix_clock
-from scalelb.program.succession import Succession
+from scalelb.program.predecessor import Incarnation
 from scalelb.protocol.agentcheck import Status
 from scalelb.routing.handover import take_in, take_out
 from scalelb.transport.admin import AdminDoor
@@ -35,8 +35,9 @@
 
 SWEEP_S, SWEEP_FULL_S, TALLY_S = 0.25, 0.03, 5.0  # house-keeping; while new clients wait; log
 KNOWN_S = 0.6  # how long the director's first word is waited for where an old list is known
-TAKE_OVER_S, TAKE_OVER_LOOK_S = 2.0, 0.01  # a life that was told to go leaves within it; between two looks
-OVERLAP_S = 4.0  # that two lives may run at once: the longest deadline, 3 s at most, and 0.7 s
+TAKE_OVER_S = 2.0  # an incarnation that was told to stop hands over within it
+TAKE_OVER_LOOK_S = 0.01  # between two looks for its account
+OVERLAP_S = 4.0  # that two incarnations may run at once: the longest deadline, 3 s at most, and 0.7 s
 OPEN_S = 0.005  # the loop has waited once by then
 LINGER_S = 0.7  # how long a stopping limiter takes what comes: the front has not noticed yet
 BACKLOG = 512
@@ -69,18 +70,18 @@
             keyed=bool(fronts.external_authorization),
             metrics=self.loop.metrics,
         )
-        self.succession: Succession | None = None
+        self.incarnation: Incarnation | None = None  # none: no folder is shared with others
         if config.shared:
-            self.succession = Succession(config.shared, log)
-            self.succession.enter()
-            self.join_bans()
-            self.succession.clear()
+            self.incarnation = Incarnation(config.shared, log)
+            self.incarnation.register()
+            self.merge_overrides()
+            self.incarnation.remove_stale_files()
         self.links: PeerConnections | None = None
         if config.peers is not None:
             from scalelb.program.peer_connections import PeerConnections
 
             self.links = PeerConnections(self, config.peers)
-        self.waiting = 0.0  # since when the life before is waited for (s of the reactor)
+        self.waiting = 0.0  # since when the predecessor is waited for (s of the reactor)
         self.admin: AdminDoor | None = None
         if fronts.external_authorization or fronts.grpc_health:
             from scalelb.transport.authz.front import Authorization, GrpcFront
@@ -98,7 +99,8 @@
 
     def listen(self) -> None:
         """Bind the addresses."""
-        if self.succession is not None and self.succession.before and self.config.inherited is not None:
+        has_predecessor = self.incarnation is not None and self.incarnation.predecessor != 0
+        if has_predecessor and self.config.inherited is not None:
             self.halve()
             self.waiting = self.reactor.seconds()
             self.take_over()
@@ -132,39 +134,42 @@
             held.setblocking(False)
             self.door.port = self.reactor.adoptStreamPort(held.fileno(), held.family, self.door)
 
-    # Two lives of one limiter
+    # Two incarnations of one limiter
 
     def take_over(self) -> None:
-        """Accept clients once the life before takes nothing new, is over, or can't be waited for any more.
-        Guards the quotas: while it serves, the units on hand are its own.  Whether it lives is asked before
-        its account is looked for, as it may leave one and end in between."""
-        before = self.succession
-        assert before is not None
+        """Accept clients once the predecessor takes nothing new, has ended, or can't be waited for any more.
+        While it serves, the units on hand are its own: both would spend them."""
+        incarnation = self.incarnation
+        assert incarnation is not None
         if self.door.closing:
             return
-        lives = before.alive(before.before)
-        account = before.left()
+        # Asked before its account is looked for, as it may leave one and end in between.
+        predecessor_runs = incarnation.predecessor_is_running()
+        account = incarnation.read_handover()
         late = self.ready() and self.reactor.seconds() - self.waiting > TAKE_OVER_S
-        if not self.ready() or (lives and account is None and not late):
+        if not self.ready() or (predecessor_runs and account is None and not late):
             if not self.ready():
                 self.waiting = self.reactor.seconds()
             self.reactor.callLater(TAKE_OVER_LOOK_S, self.take_over)
             return
-        now, gateway = self.loop.clock(), self.loop.core.gateway
+        now = self.loop.clock()
+        gateway = self.loop.core.gateway
         taken, faulty = take_in(gateway, account, now) if account else (0, 0)
-        if account is None and lives:  # guards the quotas: nobody gets a fresh share beside the old one's
+        if account is None and predecessor_runs:
+            # Nobody gets a fresh share of its quota beside the one that the predecessor still grants.
             gateway.records.given_way_until = now + 1000 * OVERLAP_S
         self.accept()
-        self.log("taken over", lives=lives, told=account is not None, entries=taken, faulty=faulty)
+        has_account = account is not None
+        self.log("taken over", lives=predecessor_runs, told=has_account, entries=taken, faulty=faulty)
         self.alone()
 
     def halve(self) -> None:
-        """While two lives run, each has half of the descriptors that one has."""
+        """While two incarnations run, each has half of the descriptors that one has."""
         self.bound(0.5)
 
     def alone(self) -> None:
-        """All of it again, once the life before is over."""
-        if self.succession is not None and self.succession.alive(self.succession.before):
+        """All of it again, once the predecessor has ended."""
+        if self.incarnation is not None and self.incarnation.predecessor_is_running():
             self.reactor.callLater(SWEEP_S, self.alone)
         else:
             self.bound(1.0)
@@ -175,41 +180,50 @@
         most = max(1, int(part * self.config.connections_most))
         self.loop.pool.limits = replace(self.loop.pool.limits, connections=most)
 
-    def relieve(self) -> None:
-        """A later life serves: take nothing new, leave it what is on hand, finish the rest."""
-        assert self.succession is not None
+    def hand_over(self) -> None:
+        """A successor serves: take nothing new, leave it what is on hand, finish the rest."""
+        assert self.incarnation is not None
         self.loop.core.turn()
         account = take_out(self.loop.core.gateway, self.loop.clock())
-        self.succession.leave(account)
+        self.incarnation.hand_over(account)
         self.loop.pool.rest_no_longer()
         self.halve()
         self.log("relieved", customers=len(account["customers"]), open=len(self.loop.core.open_requests))
         self.finish()
 
-    def join_bans(self) -> None:
-        """Other lives' words on backends."""
-        assert self.succession is not None
-        if (words := self.succession.bans()) and (news := self.loop.overrides.merge(words)):
-            self.succession.tell_bans(self.loop.overrides.by_endpoint)
-            self.loop.overrides_changed(news)
-            self.log("bans", joined=news[:20], count=len(news))
-
-    def say(self, server: str, out: bool) -> int:
-        """Staff's word on a backend: an HTTP status.  Yes only once another life can read it."""
-        bans = self.loop.overrides
-        before = bans.by_endpoint.get(server)
-        if not bans.set_by_operator(server, out, self.loop.clock()):
-            known = server in bans.listed
-            self.log("ban", level="warning", server=server[:80], out=out, what="full" if known else "unknown")
-            return 503 if known else 404
-        if bans.by_endpoint.get(server) != before:
-            if self.succession is not None and not self.succession.tell_bans(bans.by_endpoint):
-                bans.by_endpoint.pop(server) if before is None else bans.by_endpoint.update({server: before})
-                return 503
-            self.loop.overrides_changed([server])
-            if self.links is not None:
-                self.links.say(server)
-            self.log("ban", server=server, out=out)
+    def merge_overrides(self) -> None:
+        """Take in what other incarnations know of ejections by operators."""
+        assert self.incarnation is not None
+        overrides = self.loop.overrides
+        copies = self.incarnation.read_overrides()
+        changed = overrides.merge(copies)
+        if changed:
+            self.incarnation.publish_overrides(overrides.by_endpoint)
+            self.loop.overrides_changed(changed)
+            self.log("bans", joined=changed[:20], count=len(changed))
+
+    def override_endpoint(self, endpoint: str, is_ejected: bool) -> int:
+        """Eject an endpoint by hand, or undo that: an HTTP status.  200 only once other incarnations can read
+        it: else an upgrade would put the endpoint back."""
+        overrides = self.loop.overrides
+        before = overrides.by_endpoint.get(endpoint)
+        if not overrides.set_by_operator(endpoint, is_ejected, self.loop.clock()):
+            is_listed = endpoint in overrides.listed
+            reason = "full" if is_listed else "unknown"
+            self.log("ban", level="warning", server=endpoint[:80], out=is_ejected, what=reason)
+            return 503 if is_listed else 404
+        if overrides.by_endpoint.get(endpoint) == before:
+            return 200
+        if self.incarnation is not None and not self.incarnation.publish_overrides(overrides.by_endpoint):
+            if before is None:
+                del overrides.by_endpoint[endpoint]
+            else:
+                overrides.by_endpoint[endpoint] = before
+            return 503
+        self.loop.overrides_changed([endpoint])
+        if self.links is not None:
+            self.links.say(endpoint)
+        self.log("ban", server=endpoint, out=is_ejected)
         return 200
 
     def stats(self) -> dict[str, Any]:
@@ -262,8 +276,8 @@
         listens = self.door.port is not None or self.waiting
         if heard and listens and self.status is Status.STARTING and self.loop.pool.backends:
             self.show(Status.READY)
-            if self.succession is not None:
-                self.succession.say_ready()
+            if self.incarnation is not None:
+                self.incarnation.announce_ready()
             self.log("ready", backends=len(self.loop.pool.backends))
 
     def ready(self) -> bool:
@@ -299,8 +313,8 @@
         """House-keeping, again and again."""
         self.loop.sweep()
         self.door.sweep()
-        if self.succession is not None:
-            self.join_bans()
+        if self.incarnation is not None:
+            self.merge_overrides()
         self.reactor.callLater(SWEEP_FULL_S if self.door.full else SWEEP_S, self.sweep)
 
     def tell(self) -> None:
@@ -352,8 +366,8 @@
         if self.status is not Status.DRAINING:
             self.show(Status.DRAINING)
             self.log("stopping", open=len(self.loop.core.open_requests))
-            if self.succession is not None and self.succession.relieved():
-                self.relieve()
+            if self.incarnation is not None and self.incarnation.has_successor():
+                self.hand_over()
             else:
                 self.reactor.callLater(LINGER_S, self.finish)
 
--- a/scalelb/transport/admin.py
+++ b/scalelb/transport/admin.py
@@ -34,8 +34,8 @@
     def stats(self) -> dict[str, Any]:
         """The figures, as they are now."""
 
-    def say(self, server: str, out: bool) -> int:
-        """Take a backend out, or back: an HTTP status."""
+    def override_endpoint(self, endpoint: str, is_ejected: bool) -> int:
+        """Eject an endpoint by hand, or undo that: an HTTP status."""
 
 
 class AdminConnection(Stream):
@@ -110,7 +110,7 @@
         return 200, desk.stats()
     if not 0 < len(server) <= NAME_MOST or "/" in server:
         return 404, {"error": "no such deck server"}
-    status = desk.say(server, verb == "maint")
+    status = desk.override_endpoint(server, verb == "maint")
     return status, {"server": server, "out": verb == "maint", "done": status == 200}
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -120,8 +120,13 @@
     # Its look for the account of the life before went on after the end had begun, and opened the door anew.
     stage = Stage()
     program = stage.program
-    said = {"bans": [], "relieved": False, "alive": False, "left": None}
-    program.succession = Mock(**{f"{name}.return_value": value for name, value in said.items()})
+    said = {
+        "read_overrides": [],
+        "has_successor": False,
+        "predecessor_is_running": False,
+        "read_handover": None,
+    }
+    program.incarnation = Mock(**{f"{name}.return_value": value for name, value in said.items()})
     program.door.port = None
     program.stop()
     stage.wait(1000)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -157,14 +157,14 @@
 
 def test_a_backend_out_by_hand_gets_nothing_whatever_the_list_says_and_comes_back_cold() -> None:
     stage = Stage(backends=2)
-    assert stage.program.say("s1", True) == 200
-    assert stage.program.say("s1", True) == 200
-    assert stage.program.say("nobody", True) == 404
+    assert stage.program.override_endpoint("s1", True) == 200
+    assert stage.program.override_endpoint("s1", True) == 200
+    assert stage.program.override_endpoint("nobody", True) == 404
     stage.play("director expect GET\n director send {listing(2, entry(0), entry(1))}")
     for ident in range(1, 9):
         stage.play(f"client send {{call({ident}, swap=('0000ad', '0000a{ident}'))}}")
     assert "backend1" not in stage.net.wires
-    assert stage.program.say("s1", False) == 200
+    assert stage.program.override_endpoint("s1", False) == 200
     stage.wait(0)
     assert [s.info.name for s in stage.loop.core.gateway.cold] == ["s1"]
     assert stage.program.stats()["pool_ejected"] == 0
@@ -304,7 +304,7 @@
 
 def test_a_limiter_without_door_or_socket_reads_no_folder_and_writes_none() -> None:
     stage = Stage()
-    assert stage.program.succession is None
+    assert stage.program.incarnation is None
     assert stage.program.admin is None
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
 from processes import PATIENCE, Backend, Limiter, wire
 from scenario import call
 
-from scalelb.program.succession import Succession
+from scalelb.program.predecessor import Incarnation
 
 Start = Callable[..., Limiter]
 ANSWER = b"$2\r\nok\r\n"
@@ -251,23 +251,23 @@
     assert read_inherited({}) is None
 
 
-def test_lives_are_told_apart_by_their_locks(tmp_path: Path) -> None:
+def test_incarnations_are_told_apart_by_their_locks(tmp_path: Path) -> None:
     said: list[str] = []
-    lives = [Succession(str(tmp_path), lambda event, **fields: said.append(event)) for _ in range(3)]
-    for life in lives[:2]:
-        life.enter()
-    assert (lives[1].number, lives[1].before) == (2, 1)
-    assert lives[1].left() is None
-    assert not lives[0].relieved()
-    lives[1].say_ready()
-    assert lives[0].relieved()
-    lives[0].leave({"at": 1})
-    assert lives[1].left() == {"form": 1, "at": 1}
+    incarnations = [Incarnation(str(tmp_path), lambda event, **fields: said.append(event)) for _ in range(3)]
+    for incarnation in incarnations[:2]:
+        incarnation.register()
+    assert (incarnations[1].number, incarnations[1].predecessor) == (2, 1)
+    assert incarnations[1].read_handover() is None
+    assert not incarnations[0].has_successor()
+    incarnations[1].announce_ready()
+    assert incarnations[0].has_successor()
+    incarnations[0].hand_over({"at": 1})
+    assert incarnations[1].read_handover() == {"form": 1, "at": 1}
     import os
 
-    os.close(lives[0].lock)
-    assert not lives[1].alive(1)
-    lives[2].enter()
-    assert (lives[2].number, lives[2].before) == (3, 2)
-    lives[2].clear()
+    os.close(incarnations[0].lock_descriptor)
+    assert not incarnations[1].is_running(1)
+    incarnations[2].register()
+    assert (incarnations[2].number, incarnations[2].predecessor) == (3, 2)
+    incarnations[2].remove_stale_files()
     assert sorted(p.name for p in (tmp_path / "scalelb").iterdir()) == ["life-2", "life-3", "ready-2"]
