--- a/scalelb/core/lifecycle.py
+++ b/scalelb/core/lifecycle.py
@@ -50,8 +50,8 @@
     Started,
     TimerFired,
 )
+from scalelb.policy.limiter import Limiter
 from scalelb.policy.settings import Settings
-from scalelb.routing.control import Gateway
 
 
 class Core:
@@ -72,13 +72,13 @@
         self.clock = clock
         self.limits = limits
         self.on_fault = on_fault
-        self.gateway = Gateway(settings, seed)
+        self.limiter = Limiter(settings, seed)
         self.open_requests = RequestTable()
         self.timers = TimerHeap(self.open_requests)
         self.queue_adapter: QueueAdapter | None = None  # none: every request goes straight to the decisions
         if queue_settings is not None:
             self.queue_adapter = QueueAdapter(
-                queue_settings, settings, self.gateway, self.open_requests, self._decide, self._reject
+                queue_settings, settings, self.limiter, self.open_requests, self._decide, self._reject
             )
         self.replicas: Replicas | None = None  # none: no links to other limiters
         self.inbox: list[Event] = [Started()]
@@ -251,7 +251,7 @@
     def _decide(self, events: list[Event], now: float) -> None:
         """Hand events to the decisions and carry out the actions they return."""
         try:
-            for action in self.gateway.take(now, events):
+            for action in self.limiter.handle_all(now, events):
                 self._carry_out(action, now)
         except Exception as error:  # a fault with one request must not stop the timers and all the others
             self._count("fault")
@@ -305,7 +305,7 @@
         request.in_flight = True
         self._count("fetches")
         if self.replicas is not None:
-            decided = self.gateway.requests.get(request.request_id)
+            decided = self.limiter.requests.get(request.request_id)
             if decided is not None:
                 self.replicas.sends(decided)  # before it is sent: a process that dies in between sent nothing
         if self.queue_adapter is not None:
--- a/scalelb/core/ports.py
+++ b/scalelb/core/ports.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from scalelb.policy.endpoints import Endpoint
-from scalelb.routing.state import Request
+from scalelb.policy.request import Request
 
 if TYPE_CHECKING:
     from scalelb.core.request_table import OpenRequest
--- a/scalelb/core/queue_adapter.py
+++ b/scalelb/core/queue_adapter.py
@@ -10,15 +10,12 @@
 from scalelb.fairness import Ask, Credit, DoorSettings, FairDoor, Step
 from scalelb.policy.actions import RejectRequest
 from scalelb.policy.events import Event, RequestArrived
+from scalelb.policy.limiter import Limiter
 from scalelb.policy.settings import Settings
-from scalelb.routing.control import Gateway
 
 Decide = Callable[[list[Event], float], None]  # events, now
 Reject = Callable[[int, float], None]  # request id, retry after (ms)
 
-# Part of a mean request's service time that does not depend on its units; the rest is proportional to them.
-FIXED_COST_RATIO = 0.5
-
 
 class QueueAdapter:
     """The admission queue in front of the decisions.  Times in ms."""
@@ -27,7 +24,7 @@
         self,
         queue_settings: DoorSettings,
         settings: Settings,
-        gateway: Gateway,
+        limiter: Limiter,
         open_requests: RequestTable,
         decide: Decide,
         reject: Reject,
@@ -35,7 +32,7 @@
         max_retry_after_ms = settings.max_retry_after_ms if settings.sends_retry_after else 1.0
         self.queue = FairDoor(queue_settings, max_retry_after_ms)
         self.settings = settings
-        self.gateway = gateway
+        self.limiter = limiter
         self.open_requests = open_requests
         self.decide = decide
         self.reject = reject
@@ -64,7 +61,7 @@
 
     def _release(self, now: float) -> None:
         """Pass on what the queue releases, until it releases nothing more."""
-        while released := self.queue.release(now, self.gateway.blocked):
+        while released := self.queue.release(now, self.limiter.sender.has_no_capacity):
             events: list[Event] = []
             for held in released:
                 queued_ms = now - held.since
@@ -80,8 +77,7 @@
             return
         credit = self._credit(event.tenant, now)
         ask = self._ask(event, request, now)
-        proportional_ratio = 1.0 - FIXED_COST_RATIO
-        request.relative_cost = FIXED_COST_RATIO + proportional_ratio * event.units / self.gateway.mean
+        request.relative_cost = self.limiter.estimates.relative_size(event.units)
         step, retry_after_ms, displaced = self.queue.arrive(now, ask, credit, event)
         if displaced is not None:
             self.reject(displaced.ask.ident, retry_after_ms)
@@ -99,16 +95,18 @@
             customer=event.tenant,
             plan=event.plan_index,
             units=event.units,
-            latest=answer_by - self.gateway.need(request_class),
+            latest=answer_by - self.limiter.queue_times.needed_time_ms(request_class),
             worth=request_class.priority_weight,
             retry=event.is_retry,
             client=request.client_address,
-            known=self.gateway.knows(event.tenant),
-            free=self.gateway.keys.counted(event.tenant, event.idempotency_key, listener_bit, now),
+            known=self.limiter.tenants.knows(event.tenant),
+            free=self.limiter.charged_keys.is_charged_elsewhere(
+                event.tenant, event.idempotency_key, listener_bit, now
+            ),
         )
 
     def _credit(self, tenant: str, now: float) -> Credit | None:
-        balance_and_rate = self.gateway.credit(tenant, now)
+        balance_and_rate = self.limiter.available_units(tenant, now)
         return Credit(*balance_and_rate) if balance_and_rate is not None else None
 
     # What becomes of a request
@@ -119,7 +117,7 @@
 
     def admitted(self, request_id: int, now: float) -> None:
         """The caller forwards it; it counts as in flight for the usual time, as nobody tells when it ends."""
-        self.queue.admitted(now, request_id, self.gateway.usual)
+        self.queue.admitted(now, request_id, self.limiter.estimates.latency_ms)
 
     def retry_after_ms(self, action: RejectRequest, now: float) -> float:
         """When a rejected client may come back: the queue reserves what the decisions advise."""
@@ -132,12 +130,12 @@
     def attempt_sent(self, request: OpenRequest) -> None:
         """An attempt is about to be sent."""
         self.queue.sent(request.request_id)
-        server = self.gateway.servers.get(request.endpoint)
-        if server is None:
+        endpoint = self.limiter.selector.endpoints.get(request.endpoint)
+        if endpoint is None:
             request.endpoint_load = 0.0
             return
         own_load = 2.0 * request.relative_cost - 1.0
-        request.endpoint_load = server.load - own_load
+        request.endpoint_load = endpoint.load_in_flight - own_load
 
     def attempt_ended(self, request: OpenRequest, now: float, elapsed_ms: float, is_ok: bool) -> None:
         """An attempt ended in a way that tells of the endpoint's load."""
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -16,12 +16,12 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import LogEvent, LogLevel, formatEvent, globalLogBeginner
 
+from scalelb.policy.handover import leave_handover, take_handover
 from scalelb.program.config import Config, ConfigError, compare, read_config
 from scalelb.program.log import Bounded, log
 from scalelb.program.loop import Loop, unix_clock
 from scalelb.program.predecessor import Incarnation
 from scalelb.protocol.agentcheck import Status
-from scalelb.routing.handover import take_in, take_out
 from scalelb.transport.admin import AdminDoor
 from scalelb.transport.director import DirectorWatch
 from scalelb.transport.pace import Pace
@@ -153,11 +153,11 @@
             self.reactor.callLater(TAKE_OVER_LOOK_S, self.take_over)
             return
         now = self.loop.clock()
-        gateway = self.loop.core.gateway
-        taken, faulty = take_in(gateway, account, now) if account else (0, 0)
+        limiter = self.loop.core.limiter
+        taken, faulty = take_handover(limiter, account, now) if account else (0, 0)
         if account is None and predecessor_runs:
             # Nobody gets a fresh share of its quota beside the one that the predecessor still grants.
-            gateway.records.given_way_until = now + 1000 * OVERLAP_S
+            limiter.tenants.records.given_way_until = now + 1000 * OVERLAP_S
         self.accept()
         has_account = account is not None
         self.log("taken over", lives=predecessor_runs, told=has_account, entries=taken, faulty=faulty)
@@ -184,7 +184,7 @@
         """A successor serves: take nothing new, leave it what is on hand, finish the rest."""
         assert self.incarnation is not None
         self.loop.core.turn()
-        account = take_out(self.loop.core.gateway, self.loop.clock())
+        account = leave_handover(self.loop.core.limiter, self.loop.clock())
         self.incarnation.hand_over(account)
         self.loop.pool.rest_no_longer()
         self.halve()
@@ -286,7 +286,7 @@
 
     def tell_status(self) -> tuple[Status, float]:
         """For other balancers: how the limiter is, and the part of the requests that it lets in."""
-        return self.status, self.loop.core.gateway.open
+        return self.status, self.loop.core.limiter.shedder.admission_probability
 
     def show(self, status: Status) -> None:
         """Change the status, at every listener."""
@@ -321,7 +321,7 @@
         """Log what was done lately."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         cpu = used.ru_utime + used.ru_stime
-        core, gateway = self.loop.core, self.loop.core.gateway
+        core, limiter = self.loop.core, self.loop.core.limiter
         tally, core.counts = core.counts, {}
         self.log(
             "tally",
@@ -330,12 +330,12 @@
             sessions=len(self.door.sessions),
             connections=self.loop.pool.total,
             open=len(core.open_requests),
-            attempts=len(gateway.attempts),  # as the decisions have it,
+            attempts=len(limiter.attempts),  # as the decisions have it,
             fetches=self.loop.pool.fetching(),  # and as the sockets do
-            serving=[len(gateway.servers), len(self.loop.pool.backends)],
-            held=sum(len(c.queue) for c in gateway.active.values()),
-            let_in=round(gateway.open, 3),
-            usual_ms=round(gateway.usual, 1),
+            serving=[len(limiter.selector.endpoints), len(self.loop.pool.backends)],
+            held=sum(len(t.queue.requests) for t in limiter.scheduler.active.values()),
+            let_in=round(limiter.shedder.admission_probability, 3),
+            usual_ms=round(limiter.estimates.latency_ms, 1),
             counts=dict(sorted(tally.items())),
             **(core.queue_adapter.queue.told() if core.queue_adapter is not None else {}),
             **(self.links.told() if self.links is not None else {}),
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -181,9 +181,9 @@
 
     def ejected(self) -> int:
         """Backends in the list that are left out, by hand or because they can't be reached."""
-        now, servers = self.clock(), self.core.gateway.servers
+        now, servers = self.clock(), self.core.limiter.selector.endpoints
         return sum(
-            self.overrides.is_ejected(n) or (n in servers and servers[n].down > now)
+            self.overrides.is_ejected(n) or (n in servers and servers[n].ejected_until > now)
             for n in self.pool.backends
         )
 
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -73,8 +73,9 @@
 
     def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
         self.sent_attempts.append((str(request.request_id), endpoint))
-        units, mean = self.core.gateway.requests[request.request_id].units, self.core.gateway.mean
-        attempt, took = request.attempt_number, self.core.gateway.usual * (0.5 + 0.5 * units / mean)
+        units, mean = self.core.limiter.requests[request.request_id].units, self.core.limiter.estimates.units
+        attempt = request.attempt_number
+        took = self.core.limiter.estimates.latency_ms * (0.5 + 0.5 * units / mean)
         self.due.append((self.now + took, lambda: self._served(request, attempt)))
 
     def _served(self, request: OpenRequest, attempt: int) -> None:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports point one way: program, wirehost, middleware over transport over protocol and core over routing."""
+"""Imports point one way: program, wirehost, middleware over transport over protocol and core over policy."""
 
 from __future__ import annotations
 
@@ -15,36 +15,30 @@
 # fmt: off
 MAY_USE = {
     "fairness": {"fairness"},
-    "overload": {"overload"},
     "agreement": {"agreement"},
-    "policy": {"policy"},
-    "routing": {"fairness", "overload", "policy", "routing"},
-    "core": {"core", "fairness", "policy", "routing"},
+    "policy": {"fairness", "policy"},
+    "core": {"core", "fairness", "policy"},
     "protocol": {"protocol"},
     "transport": {"core", "policy", "protocol", "transport"},
     "middleware": {"core", "fairness", "policy", "protocol", "middleware"},
     "peers": {"peers"},
     "program": {
-        "agreement", "core", "fairness", "overload", "peers", "policy", "routing", "protocol", "transport",
-        "program",
+        "agreement", "core", "fairness", "peers", "policy", "protocol", "transport", "program",
     },
     "lab": {
-        "agreement", "core", "fairness", "overload", "peers", "policy", "routing", "protocol", "transport",
-        "program", "lab",
+        "agreement", "core", "fairness", "peers", "policy", "protocol", "transport", "program", "lab",
     },
     "__main__": {"lab"},
-    "wirehost": {"policy", "routing", "program", "wirehost"},
-    "__init__": {"policy", "routing"},
+    "wirehost": {"policy", "program", "wirehost"},
+    "__init__": {"policy"},
 }
 # fmt: on
 FOREIGN = {
     "fairness": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
-    "policy": {"twisted", "socket", "grpc", "httptools", "orjson"},
-    "routing": {"twisted", "socket", "grpc", "httptools", "orjson"},
+    "policy": {"twisted", "socket", "grpc", "httptools", "orjson", "time"},
     "core": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "protocol": {"twisted", "socket"},
     "agreement": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
-    "overload": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "peers": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
 }
 
@@ -66,7 +60,8 @@
     for name in imported(path):
         parts = name.split(".")
         if parts[0] == "scalelb":
-            assert len(parts) > 1 and parts[1] in MAY_USE[layer] | {"Gateway"}, name
+            assert len(parts) > 1, name
+            assert parts[1] in MAY_USE[layer] | {"Limiter"}, name
         assert parts[0] not in FOREIGN.get(layer, set()), name
 
 
