--- /dev/null
+++ b/scalelb/admission_queue/__init__.py
@@ -0,0 +1,27 @@
+"""The admission queue: fair queuing, a concurrency limit and Retry-After reservations.
+
+It stands between the listeners and the limiter (`scalelb.routing`), which still decides which endpoint gets a
+request, whether it is retried, and what is rejected for quota.  No I/O; times are passed in, in milliseconds.
+See `docs/fairness.md`.
+"""
+
+from scalelb.admission_queue.admission_queue import AdmissionQueue
+from scalelb.admission_queue.admission_request import (
+    AdmissionRequest,
+    AdmissionResult,
+    QueueDecision,
+    QueuedRequest,
+    QuotaBalance,
+)
+from scalelb.admission_queue.settings import AdmissionQueueSettings, FlowKey
+
+__all__ = [
+    "AdmissionQueue",
+    "AdmissionQueueSettings",
+    "AdmissionRequest",
+    "AdmissionResult",
+    "FlowKey",
+    "QueueDecision",
+    "QueuedRequest",
+    "QuotaBalance",
+]
--- a/scalelb/core/lifecycle.py
+++ b/scalelb/core/lifecycle.py
@@ -11,6 +11,7 @@
 from math import inf
 from typing import Any
 
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.limits import DEFAULT_LIMITS, CoreLimits
 from scalelb.core.ports import NO_LOAD_REPORT, Caller, Ports, Replicas, Verdict
@@ -25,7 +26,6 @@
     TimerHeap,
 )
 from scalelb.core.validation import check_request
-from scalelb.fairness import DoorSettings
 from scalelb.policy.actions import (
     Action,
     AddToCounter,
@@ -65,7 +65,7 @@
         clock: Callable[[], float],
         limits: CoreLimits = DEFAULT_LIMITS,
         on_fault: Callable[[Exception], None] = lambda error: None,
-        queue_settings: DoorSettings | None = None,
+        queue_settings: AdmissionQueueSettings | None = None,
     ) -> None:
         self.settings = settings
         self.ports = ports
--- a/scalelb/core/queue_adapter.py
+++ b/scalelb/core/queue_adapter.py
@@ -6,8 +6,14 @@
 from dataclasses import replace
 from math import inf
 
+from scalelb.admission_queue import (
+    AdmissionQueue,
+    AdmissionQueueSettings,
+    AdmissionRequest,
+    QueueDecision,
+    QuotaBalance,
+)
 from scalelb.core.request_table import OpenRequest, RequestTable
-from scalelb.fairness import Ask, Credit, DoorSettings, FairDoor, Step
 from scalelb.policy.actions import RejectRequest
 from scalelb.policy.events import Event, RequestArrived
 from scalelb.policy.limiter import Limiter
@@ -22,7 +28,7 @@
 
     def __init__(
         self,
-        queue_settings: DoorSettings,
+        queue_settings: AdmissionQueueSettings,
         settings: Settings,
         limiter: Limiter,
         open_requests: RequestTable,
@@ -30,7 +36,7 @@
         reject: Reject,
     ) -> None:
         max_retry_after_ms = settings.max_retry_after_ms if settings.sends_retry_after else 1.0
-        self.queue = FairDoor(queue_settings, max_retry_after_ms)
+        self.queue = AdmissionQueue(queue_settings, max_retry_after_ms)
         self.settings = settings
         self.limiter = limiter
         self.open_requests = open_requests
@@ -43,13 +49,13 @@
         be scheduled.  What ended frees capacity and comes first, then who waits, then who arrives."""
         arrivals = [event for event in events if isinstance(event, RequestArrived)]
         self.decide([event for event in events if not isinstance(event, RequestArrived)], now)
-        for held, retry_after_ms in self.queue.overdue(now):
-            self.reject(held.ask.ident, retry_after_ms)
+        for queued, retry_after_ms in self.queue.remove_overdue(now):
+            self.reject(queued.request.request_id, retry_after_ms)
         self._release(now)
         for event in arrivals:
             self._enqueue(event, now)
         self._release(now)
-        check_at = self.queue.wakes_at()
+        check_at = self.queue.next_wakeup_at()
         if check_at == inf or now < self.check_at <= check_at:
             return None
         self.check_at = check_at
@@ -63,9 +69,9 @@
         """Pass on what the queue releases, until it releases nothing more."""
         while released := self.queue.release(now, self.limiter.sender.has_no_capacity):
             events: list[Event] = []
-            for held in released:
-                queued_ms = now - held.since
-                event: RequestArrived = held.item
+            for queued in released:
+                queued_ms = now - queued.arrived_at
+                event: RequestArrived = queued.payload
                 expires_in_ms = event.expires_in_ms - queued_ms
                 events.append(replace(event, queued_ms=queued_ms, expires_in_ms=expires_in_ms))
             self.decide(events, now)
@@ -78,58 +84,58 @@
         credit = self._credit(event.tenant, now)
         ask = self._ask(event, request, now)
         request.relative_cost = self.limiter.estimates.relative_size(event.units)
-        step, retry_after_ms, displaced = self.queue.arrive(now, ask, credit, event)
+        decision, retry_after_ms, displaced = self.queue.request_arrived(now, ask, credit, event)
         if displaced is not None:
-            self.reject(displaced.ask.ident, retry_after_ms)
-        if step is Step.PASS:
+            self.reject(displaced.request.request_id, retry_after_ms)
+        if decision is QueueDecision.FORWARD:
             self.decide([event], now)
-        elif step is Step.REFUSE:
+        elif decision is QueueDecision.REJECT:
             self.reject(event.request_id, retry_after_ms)
 
-    def _ask(self, event: RequestArrived, request: OpenRequest, now: float) -> Ask:
+    def _ask(self, event: RequestArrived, request: OpenRequest, now: float) -> AdmissionRequest:
         request_class = self.settings.request_classes[event.class_index]
         answer_by = now + min(request_class.latency_objective_ms, event.expires_in_ms)
         listener_bit = 1 << event.listener
-        return Ask(
-            ident=event.request_id,
-            customer=event.tenant,
-            plan=event.plan_index,
+        return AdmissionRequest(
+            request_id=event.request_id,
+            tenant=event.tenant,
+            plan_index=event.plan_index,
             units=event.units,
-            latest=answer_by - self.limiter.queue_times.needed_time_ms(request_class),
-            worth=request_class.priority_weight,
-            retry=event.is_retry,
+            latest_send_at=answer_by - self.limiter.queue_times.needed_time_ms(request_class),
+            priority_weight=request_class.priority_weight,
+            is_retry=event.is_retry,
             client=request.client_address,
-            known=self.limiter.tenants.knows(event.tenant),
-            free=self.limiter.charged_keys.is_charged_elsewhere(
+            is_known_tenant=self.limiter.tenants.knows(event.tenant),
+            is_already_charged=self.limiter.charged_keys.is_charged_elsewhere(
                 event.tenant, event.idempotency_key, listener_bit, now
             ),
         )
 
-    def _credit(self, tenant: str, now: float) -> Credit | None:
+    def _credit(self, tenant: str, now: float) -> QuotaBalance | None:
         balance_and_rate = self.limiter.available_units(tenant, now)
-        return Credit(*balance_and_rate) if balance_and_rate is not None else None
+        return QuotaBalance(*balance_and_rate) if balance_and_rate is not None else None
 
     # What becomes of a request
 
     def cancel(self, request_id: int) -> bool:
         """The request has ended without an answer; whether it waited in the queue."""
-        return self.queue.gone(request_id)
+        return self.queue.request_cancelled(request_id)
 
     def admitted(self, request_id: int, now: float) -> None:
         """The caller forwards it; it counts as in flight for the usual time, as nobody tells when it ends."""
-        self.queue.admitted(now, request_id, self.limiter.estimates.latency_ms)
+        self.queue.request_admitted(now, request_id, self.limiter.estimates.latency_ms)
 
     def retry_after_ms(self, action: RejectRequest, now: float) -> float:
         """When a rejected client may come back: the queue reserves what the decisions advise."""
-        held = self.queue.inside.get(action.request_id)
-        if not self.settings.sends_retry_after or held is None:
+        forwarded = self.queue.forwarded.by_id.get(action.request_id)
+        if not self.settings.sends_retry_after or forwarded is None:
             return action.retry_after_ms
-        credit = self._credit(held.ask.customer, now)
-        return self.queue.refused(now, action.request_id, credit, action.retry_after_ms)
+        credit = self._credit(forwarded.request.tenant, now)
+        return self.queue.request_rejected(now, action.request_id, credit, action.retry_after_ms)
 
     def attempt_sent(self, request: OpenRequest) -> None:
         """An attempt is about to be sent."""
-        self.queue.sent(request.request_id)
+        self.queue.attempt_sent(request.request_id)
         endpoint = self.limiter.selector.endpoints.get(request.endpoint)
         if endpoint is None:
             request.endpoint_load = 0.0
@@ -139,10 +145,10 @@
 
     def attempt_ended(self, request: OpenRequest, now: float, elapsed_ms: float, is_ok: bool) -> None:
         """An attempt ended in a way that tells of the endpoint's load."""
-        self.queue.answered(
+        self.queue.attempt_ended(
             now, request.endpoint, elapsed_ms, request.relative_cost, request.endpoint_load, is_ok
         )
 
     def finished(self, request_id: int) -> None:
         """The request was answered or cancelled."""
-        self.queue.finished(request_id)
+        self.queue.request_finished(request_id)
--- a/scalelb/lab/cli.py
+++ b/scalelb/lab/cli.py
@@ -124,13 +124,14 @@
             world = model.play(experiment, variant, lambda part: bar.update(100 * part - bar.n))
             out.mkdir(parents=True, exist_ok=True)
             write_rows(out / "rows.parquet", world.rows)
+            adapters = [limiter.core.queue_adapter for limiter in world.limiters]
             limiters = [
                 {
                     "cpu_ms": round(limiter.cpu_ns / 1e6, 1),
                     "longest_turn_ms": round(limiter.longest_ns / 1e6, 1),
-                    "door": adapter.queue.told()["door"] if (adapter := limiter.core.queue_adapter) else {},
+                    "door": adapter.queue.log_fields()["door"] if adapter is not None else {},
                 }
-                for limiter in world.limiters
+                for limiter, adapter in zip(world.limiters, adapters, strict=True)
             ]
             found = {"name": variant.name, "folder": out.name, "tries": len(world.rows), "broken": []}
             return found | {"limiters": limiters}, world.rows
--- a/scalelb/lab/experiment.py
+++ b/scalelb/lab/experiment.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
-from scalelb.fairness import DoorSettings
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.lab.traffic import Arrival, Clients, EveningError, Tenant, draw, read_evening
 from scalelb.policy.settings import Settings
-from scalelb.program.config import ConfigError, Node, read_door, read_settings
+from scalelb.program.config import ConfigError, Node, read_admission_queue, read_settings
 
 SECONDS_MOST, SERVERS_MOST, LIMITERS_MOST, VARIANTS_MOST = 3600, 500, 50, 64
 ARRIVALS_MOST = 2_000_000
@@ -113,9 +113,9 @@
         """The settings, read as the program reads them."""
         return read_settings(self.settings_object(variant, index), "settings")
 
-    def door_settings(self, variant: Variant) -> DoorSettings | None:
+    def door_settings(self, variant: Variant) -> AdmissionQueueSettings | None:
         """The door, read as the program reads it."""
-        return read_door(self.door_object(variant), self.settings(variant), tuple(self.plans))
+        return read_admission_queue(self.door_object(variant), self.settings(variant), tuple(self.plans))
 
     def door_object(self, variant: Variant) -> dict[str, Any]:
         """The door's file for a variant."""
--- a/scalelb/lab/model.py
+++ b/scalelb/lab/model.py
@@ -18,12 +18,12 @@
 
 import numpy as np
 
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.lifecycle import Core
 from scalelb.core.limits import CoreLimits
 from scalelb.core.ports import Verdict
 from scalelb.core.request_table import OpenRequest
-from scalelb.fairness import DoorSettings
 from scalelb.lab.experiment import Experiment, Fleet, Variant
 from scalelb.lab.rows import Row
 from scalelb.lab.traffic import Arrival, Clients
@@ -133,7 +133,9 @@
 class Limiter:
     """One core on the kernel: the core's ports."""
 
-    def __init__(self, world: World, index: int, settings: Settings, door: DoorSettings | None) -> None:
+    def __init__(
+        self, world: World, index: int, settings: Settings, door: AdmissionQueueSettings | None
+    ) -> None:
         self.world, self.kernel, self.index = world, world.kernel, index
         self.cpu_ns = self.longest_ns = self.turns = 0
         self.alarm = inf
@@ -221,7 +223,7 @@
         settings: Settings,
         *,
         seed: int = 1,
-        door: DoorSettings | None = None,
+        door: AdmissionQueueSettings | None = None,
         fleet: Fleet = FLEET,
         clients: Clients = CLIENTS,
         name: str = "",
--- a/scalelb/middleware/host.py
+++ b/scalelb/middleware/host.py
@@ -7,10 +7,10 @@
 from collections.abc import Awaitable, Callable, Iterable
 from math import isfinite
 
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.core.lifecycle import Core
 from scalelb.core.limits import CoreLimits
 from scalelb.core.request_table import OpenRequest
-from scalelb.fairness import DoorSettings
 from scalelb.policy.endpoints import Endpoint
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import Settings
@@ -28,7 +28,7 @@
         seed: int = 0,
         add: AddToCounter | None = None,
         clock: Callable[[], float] | None = None,
-        door: DoorSettings | None = None,
+        door: AdmissionQueueSettings | None = None,
     ) -> None:
         offset = time.time() - time.monotonic()
         self.clock = clock or (lambda: (time.monotonic() + offset) * 1000.0)
--- a/scalelb/policy/handover.py
+++ b/scalelb/policy/handover.py
@@ -15,7 +15,7 @@
 from math import inf, isfinite
 from typing import Any, NamedTuple
 
-from scalelb.fairness.records import Record
+from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.policy.idempotency_keys import MAX_KEYS, ChargedKey
 from scalelb.policy.limiter import Limiter
 from scalelb.policy.outlier_detection import MAX_CONNECT_FAILURES, MAX_EJECTION_MS, TrackedEndpoint
@@ -113,7 +113,7 @@
         "customers": {
             name: list(record)
             for name, record in tenants.items()
-            if max(record.full_at, record.out_until) > now
+            if max(record.full_at, record.in_flight_until) > now
         },
         "servers": {name: _endpoint_entry(tracked) for name, tracked in limiter.selector.endpoints.items()},
         "keys": [
@@ -124,7 +124,7 @@
     }
     limiter.selector.slow_start.work_units = 0.0  # nothing more to endpoints in slow start from here on
     limiter.selector.slow_start.allowed_units = 0.0
-    records.given_way_until = inf  # and no balance to a tenant that comes to this incarnation
+    records.unknown_start_empty_until = inf  # and no balance to a tenant that comes to this incarnation
     return handover
 
 
@@ -146,7 +146,7 @@
     ]
 
 
-def _leave_tenant(limiter: Limiter, tenant: Tenant, now: float) -> Record:
+def _leave_tenant(limiter: Limiter, tenant: Tenant, now: float) -> TenantRecord:
     """Return the record of a tenant; it keeps what its queue needs, come or still to come.  The queue of a
     bucket on the counter asks the counter for that."""
     bucket = tenant.bucket
@@ -171,7 +171,7 @@
     ended_at = now
     if in_flight > 0:
         ended_at += ENDED_AFTER_LATENCIES * limiter.estimates.latency_ms
-    return record._replace(out=in_flight, out_until=ended_at)
+    return record._replace(in_flight=in_flight, in_flight_until=ended_at)
 
 
 def take_handover(limiter: Limiter, handover: dict[str, Any], now: float) -> TakenOver:
@@ -182,7 +182,7 @@
     given_way_until: Any = handover.get("given_way_until")
     parts = [_take_figures(limiter, handover.get("figures"), now)]
     if Range(now, now + MAX_REFILL_MS).contains(given_way_until):
-        limiter.tenants.records.given_way_until = float(given_way_until)
+        limiter.tenants.records.unknown_start_empty_until = float(given_way_until)
     parts.append(_take_tenants(limiter, handover.get("customers"), now))
     parts.append(_take_endpoints(limiter, handover.get("servers"), now))
     parts.append(_take_keys(limiter, handover.get("keys"), now))
@@ -208,7 +208,7 @@
         if record is None or not 0 < len(name) <= MAX_NAME_CHARACTERS:
             malformed += 1
         elif name not in limiter.tenants.tenants:
-            limiter.tenants.records.left[name] = record
+            limiter.tenants.records.inherited[name] = record
             taken += 1
     return TakenOver(taken, malformed)
 
@@ -252,7 +252,7 @@
     return TakenOver(taken, malformed)
 
 
-def _read_record(entry: Any, now: float) -> Record | None:
+def _read_record(entry: Any, now: float) -> TenantRecord | None:
     ranges = (
         Range(-MAX_UNITS, MAX_UNITS),  # balance
         Range(-MAX_UNITS, MAX_UNITS),  # unreported
@@ -267,7 +267,7 @@
     if not _are_within(entry, ranges):
         return None
     balance, unreported, counter_balance, total, window, at, full_at, in_flight, ended_at = entry
-    return Record(
+    return TenantRecord(
         float(balance),
         float(unreported),
         float(counter_balance),
--- a/scalelb/policy/housekeeping.py
+++ b/scalelb/policy/housekeeping.py
@@ -40,7 +40,7 @@
     def timer_delay_ms(self) -> float | None:
         """Return the delay of the timer to set; `None` where one is set or there is nothing to keep."""
         records = self.tenants.records
-        if self.is_timer_set or not (self.tenants.tenants or records.tables or records.left):
+        if self.is_timer_set or not (self.tenants.tenants or records.tables or records.inherited):
             return None
         self.is_timer_set = True
         return SCHEDULING_CYCLE_MS if self.unvisited else HOUSEKEEPING_MS
--- a/scalelb/policy/tenant.py
+++ b/scalelb/policy/tenant.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from math import exp, inf
 
-from scalelb.fairness.records import Record
+from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.policy.events import RequestArrived
 from scalelb.policy.settings import Settings
 from scalelb.policy.tenant_queue import TenantQueue
@@ -81,11 +81,11 @@
         """Whether something of it is in progress, so that it can't be evicted."""
         return bool(self.queue.requests or self.attempts_in_flight or self.bucket.has_call_in_flight)
 
-    def restore(self, record: Record) -> None:
+    def restore(self, record: TenantRecord) -> None:
         """Go on where the record of its bucket ends."""
         self.bucket.restore(record)
-        self.attempts_in_flight = record.out
-        self.admitted_end_at = [record.out_until] * record.out
+        self.attempts_in_flight = record.in_flight
+        self.admitted_end_at = [record.in_flight_until] * record.in_flight
 
     def stop_waiting_for_counter(self) -> None:
         """The counter is unavailable: its answer is not to be waited for."""
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -157,7 +157,7 @@
         taken, faulty = take_handover(limiter, account, now) if account else (0, 0)
         if account is None and predecessor_runs:
             # Nobody gets a fresh share of its quota beside the one that the predecessor still grants.
-            limiter.tenants.records.given_way_until = now + 1000 * OVERLAP_S
+            limiter.tenants.records.unknown_start_empty_until = now + 1000 * OVERLAP_S
         self.accept()
         has_account = account is not None
         self.log("taken over", lives=predecessor_runs, told=has_account, entries=taken, faulty=faulty)
@@ -337,7 +337,7 @@
             let_in=round(limiter.shedder.admission_probability, 3),
             usual_ms=round(limiter.estimates.latency_ms, 1),
             counts=dict(sorted(tally.items())),
-            **(core.queue_adapter.queue.told() if core.queue_adapter is not None else {}),
+            **(core.queue_adapter.queue.log_fields() if core.queue_adapter is not None else {}),
             **(self.links.told() if self.links is not None else {}),
             **({"admin": {str(s): n for s, n in self.admin.calls.items()}} if self.admin is not None else {}),
         )
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -9,10 +9,10 @@
 
 from driver import SETTINGS
 
+from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.core.lifecycle import Core
 from scalelb.core.ports import NO_LOAD_REPORT
 from scalelb.core.request_table import OpenRequest
-from scalelb.fairness import DoorSettings
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
@@ -56,7 +56,7 @@
         settings: Settings = SITE,
         counter: Counter | None = None,
         now: float = 1e6,
-        door: DoorSettings | None = None,
+        door: AdmissionQueueSettings | None = None,
     ) -> None:
         self.now = now
         self.counter = counter or Counter()
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -23,21 +23,21 @@
 from driver import SAFE, SETTINGS, UNSAFE, Driver, servers
 from scenario import Net, Wire
 
-from scalelb.agreement import Learner, Proposer, Times, Voter
+from scalelb.admission_queue.tenant_records import TenantRecord, TenantRecords
+from scalelb.consensus import Acceptor, Learner, LeaseTimes, Proposer
 from scalelb.core.endpoint_overrides import EndpointOverrides, Override
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.lifecycle import Core
-from scalelb.fairness.records import Record, Records
-from scalelb.peers import Mesh, MeshSettings
-from scalelb.peers.chain import TOMB_MS
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import CounterReplied, EndpointsListed, Outcome
 from scalelb.policy.handover import leave_handover, take_handover
 from scalelb.policy.limiter import Limiter
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan
-from scalelb.program.peering import Peering, Whose
+from scalelb.program.peering import OverrideScope, Peering
 from scalelb.program.policy_register import PolicyRegister
 from scalelb.program.predecessor import Incarnation
+from scalelb.replication import ReplicationSettings, Replicator
+from scalelb.replication.replicated_log import TOMBSTONE_MS
 from scalelb.transport.peerlink import PeerLinks
 
 DATA = Path(__file__).parent / "data" / "b1c877a"
@@ -168,8 +168,8 @@
 
 def rewrite_account(limiter: Limiter) -> dict[str, Any]:
     """The account from what was read.  `leave_handover` leaves out tenants that have not come yet."""
-    tenants = {name: list(record) for name, record in limiter.tenants.records.left.items()}
-    without_share_until = limiter.tenants.records.given_way_until
+    tenants = {name: list(record) for name, record in limiter.tenants.records.inherited.items()}
+    without_share_until = limiter.tenants.records.unknown_start_empty_until
     account = leave_handover(limiter, NOW_MS)
     return account | {"given_way_until": without_share_until, "customers": tenants}
 
@@ -188,7 +188,7 @@
     }
 
 
-def read_tenant(limiter: Limiter, name: str) -> Record | None:
+def read_tenant(limiter: Limiter, name: str) -> TenantRecord | None:
     """What a successor is given of a tenant that comes now."""
     return limiter.tenants.records.take(name, NOW_MS)
 
@@ -202,14 +202,14 @@
 
 RECORDS_KEY = bytes(range(16))
 RECORDS = {
-    "ada": Record(1.5, 0.25, 12.0, 40.0, 56_666, NOW_MS - 500.0, NOW_MS + 30_000.0),
-    "grace": Record(-2.0, 3.5, -1.25, 7.0, -1, NOW_MS - 20.0, NOW_MS + 4000.0),
-    "zoë": Record(0.0, 0.0, 0.5, 0.0, 2**31 - 1, NOW_MS, NOW_MS + 600_000.0),
+    "ada": TenantRecord(1.5, 0.25, 12.0, 40.0, 56_666, NOW_MS - 500.0, NOW_MS + 30_000.0),
+    "grace": TenantRecord(-2.0, 3.5, -1.25, 7.0, -1, NOW_MS - 20.0, NOW_MS + 4000.0),
+    "zoë": TenantRecord(0.0, 0.0, 0.5, 0.0, 2**31 - 1, NOW_MS, NOW_MS + 600_000.0),
 }
 
 
-def empty_records() -> Records:
-    return Records(RECORDS_KEY, bits=2, tables=1)
+def empty_records() -> TenantRecords:
+    return TenantRecords(RECORDS_KEY, bits=2, max_tables=1)
 
 
 def write_records() -> bytes:
@@ -220,12 +220,18 @@
     return rewrite_records(records)
 
 
-def columns(records: Records) -> list[Any]:
+def columns(records: TenantRecords) -> list[Any]:
     table = records.tables[0]
-    return [table.names, table.at, table.full_at, table.windows, *table.numbers]
+    return [
+        table.name_hashes,
+        table.evicted_ticks,
+        table.full_ticks,
+        table.counter_windows,
+        *table.amounts,
+    ]
 
 
-def read_records(data: bytes) -> Records:
+def read_records(data: bytes) -> TenantRecords:
     """Records whose only table has these columns."""
     records = empty_records()
     records.put("overwritten", RECORDS["ada"], NOW_MS)  # makes the table
@@ -235,11 +241,11 @@
         column[:] = type(column)(column.typecode, data[begins:ends])
         begins = ends
     assert begins == len(data)
-    records.tables[0].count = sum(name != 0 for name in records.tables[0].names)
+    records.tables[0].count = sum(name != 0 for name in records.tables[0].name_hashes)
     return records
 
 
-def rewrite_records(records: Records) -> bytes:
+def rewrite_records(records: TenantRecords) -> bytes:
     return b"".join(column.tobytes() for column in columns(records))
 
 
@@ -253,7 +259,7 @@
 
 
 def new_learner() -> Learner:
-    return Learner("n0", "n0.1", VOTERS, Times())
+    return Learner("n0", "n0.1", VOTERS, LeaseTimes())
 
 
 class Exchanges:
@@ -265,9 +271,9 @@
         self.stores: dict[str, PolicyRegister] = {}
         self.voters = {name: self.voter(name, fresh=True) for name in VOTERS}
 
-    def voter(self, name: str, fresh: bool, now: float = 0.0) -> Voter:
+    def voter(self, name: str, fresh: bool, now: float = 0.0) -> Acceptor:
         store = self.stores[name] = PolicyRegister(self.folder / f"voter-{name}.db", name, ignore)
-        return Voter(name, VOTERS, store, Times(), now, fresh=fresh)
+        return Acceptor(name, VOTERS, store, LeaseTimes(), now, is_new_register=fresh)
 
     def lose_store(self, name: str, now: float) -> None:
         """A voter starts again, and its store is gone."""
@@ -282,7 +288,7 @@
     def send(self, at: float, to: str, word: dict[str, Any]) -> dict[str, Any]:
         """Carry a word to a voter; returns the answer, as it is read at the other end."""
         sent = orjson.loads(orjson.dumps(word))
-        answer = self.voters[to].received(sent, at)
+        answer = self.voters[to].receive(sent, at)
         self.lines.append({"at": at, "to": to, "word": sent, "answer": answer})
         told: dict[str, Any] = orjson.loads(orjson.dumps(answer))
         return told
@@ -294,15 +300,15 @@
 
     def propose(self, at: float, proposer: Proposer, names: tuple[str, ...] = VOTERS) -> None:
         """One attempt of a proposer, to its end."""
-        words: list[dict[str, Any] | None] = [proposer.begin()]
+        words: list[dict[str, Any] | None] = [proposer.begin_attempt()]
         while words and (word := words.pop(0)) is not None:
-            answers = [proposer.received(answer) for answer in self.to_all(at, word, names)]
+            answers = [proposer.receive(answer) for answer in self.to_all(at, word, names)]
             words += [answer for answer in answers if answer is not None]
 
     def ask(self, at: float, learner: Learner) -> None:
         """One ask of a learner for its permission, and what it gives back."""
-        for answer in self.to_all(at, learner.ask(at)):
-            if (back := learner.received(answer, at)) is not None:
+        for answer in self.to_all(at, learner.request_leases(at)):
+            if (back := learner.receive(answer, at)) is not None:
                 self.to_all(at, back)
 
 
@@ -316,18 +322,18 @@
     exchanges.send(4000.0, "a", {"k": "ask", "holder": "n0", "life": "n0.1", "ask": 1, "version": 0})
     first = new_proposer("p1", 2, '{"rate":1}', '{"rate":4}')
     second = new_proposer("p2", 2, '{"rate":2}', '{"rate":4}')
-    exchanges.to_all(4100.0, first.begin(), ("a", "b"))
-    second.begin()
+    exchanges.to_all(4100.0, first.begin_attempt(), ("a", "b"))
+    second.begin_attempt()
     exchanges.propose(4200.0, second)
     exchanges.propose(4300.0, first, ("a",))
     exchanges.ask(4400.0, learner)
     exchanges.ask(9000.0, learner)
-    third = new_proposer("p3", 3, '{"rate":9}', second.won)
-    for answer in exchanges.to_all(9100.0, third.begin()):
-        if (accept := third.received(answer)) is not None:
+    third = new_proposer("p3", 3, '{"rate":9}', second.decided_value)
+    for answer in exchanges.to_all(9100.0, third.begin_attempt()):
+        if (accept := third.receive(answer)) is not None:
             exchanges.send(9100.0, "a", accept)  # one voter accepts, and nobody hears of it
     exchanges.lose_store("c", 9200.0)
-    exchanges.send(9200.0, "c", third.begin())
+    exchanges.send(9200.0, "c", third.begin_attempt())
     for name in ("a", "b"):
         exchanges.send(9200.0, "c", exchanges.send(9200.0, name, {"k": "tell"}))
     exchanges.close()
@@ -345,15 +351,15 @@
     return exchanges.lines
 
 
-def read_voter(path: Path) -> Voter:
+def read_voter(path: Path) -> Acceptor:
     """A voter that starts with a store; it is lost where the store can't be read."""
-    return Voter("a", VOTERS, PolicyRegister(path, "a", ignore), Times(), 20_000.0)
+    return Acceptor("a", VOTERS, PolicyRegister(path, "a", ignore), LeaseTimes(), 20_000.0)
 
 
-def rewrite_voter(voter: Voter, path: Path) -> None:
+def rewrite_voter(voter: Acceptor, path: Path) -> None:
     """Store what a voter has read in another file."""
     store = PolicyRegister(path, "a", ignore)
-    store.save(voter.state.words())
+    store.save(voter.state.to_wire())
     store.close()
 
 
@@ -387,14 +393,14 @@
         self.now = now  # of the links; the clock of the decisions stands NOW_MS further
         net: Any = Net()
         addresses = {other: f"127.0.0.1:{7200 + int(other[1])}" for other in MEMBERS if other != name}
-        self.mesh = Mesh(MeshSettings(name, MEMBERS), nonce, now, ignore)
+        self.replicator = Replicator(ReplicationSettings(name, MEMBERS), nonce, now, ignore)
         self.links = PeerLinks(
             net,
             name,
             addresses,
             ignore,
-            lambda peer: self.mesh.joined(peer, self.now),
-            lambda peer: self.mesh.left(peer, self.now),
+            lambda peer: self.replicator.link_up(peer, self.now),
+            lambda peer: self.replicator.link_down(peer, self.now),
             self.received,
         )
         self.net = net
@@ -403,7 +409,13 @@
         self.sent_attempts: list[Any] = []
         self.core = Core(PEER_SETTINGS, 7, self, self.clock)
         self.peering = Peering(
-            self.mesh, self.core, self.overrides, self.clock, self.overridden, ignore, Whose.FLEET
+            self.replicator,
+            self.core,
+            self.overrides,
+            self.clock,
+            self.overridden,
+            ignore,
+            OverrideScope.FLEET,
         )
 
     def clock(self) -> float:
@@ -419,7 +431,7 @@
         self.wires[peer].protocol.dataReceived(data)
 
     def received(self, peer: str, message: Any) -> None:
-        for to, answer in self.mesh.received(peer, message, self.now):
+        for to, answer in self.replicator.receive(peer, message, self.now):
             self.links.send(to, answer)
 
     def frames(self, peer: str) -> list[bytes]:
@@ -440,31 +452,31 @@
 
     # What it has read
 
-    def read_chain(self, name: str, number: int, nonce: int) -> tuple[int, int, dict[str, Any]]:
-        """The version and floor of a peer's chain, and its live entries."""
-        chain = next(c for life, c in self.mesh.replica.chains.items() if life == (name, number, nonce))
-        return chain.version, chain.floor, dict(chain.live())
+    def read_log(self, name: str, number: int, nonce: int) -> tuple[int, int, dict[str, Any]]:
+        """The version and floor of a peer's log, and its live entries."""
+        log = next(c for life, c in self.replicator.replica.logs.items() if life == (name, number, nonce))
+        return log.version, log.floor, dict(log.live_entries())
 
     def read_have(self, peer: str) -> tuple[bool, dict[tuple[str, int, int], tuple[int, int]]]:
         """Whether a peer has settled, and what it holds of each life."""
-        link = self.mesh.links[peer]
-        return link.settled, {(*life,): state for life, state in link.theirs.items()}
+        link = self.replicator.links[peer]
+        return link.is_settled, {(*life,): state for life, state in link.known_states.items()}
 
     def read_overrides(self) -> dict[str, Override]:
         return self.overrides.by_endpoint
 
     def read_attempt(self, tenant: str, key: str) -> tuple[int, int, float] | None:
         """Zone and cell where a key may have run, and when it was sent there."""
-        ran = self.peering.tries.ran(tenant, key)
+        ran = self.peering.idempotency.ran(tenant, key)
         return None if ran is None else (ran[0].zone, ran[0].cell, ran[1])
 
     def read_claims(self) -> set[str]:
         """What peers say of endpoints."""
-        return set(self.peering.said)
+        return set(self.peering.endpoints.reporters)
 
-    def read_accounts(self) -> dict[str, Record]:
+    def read_accounts(self) -> dict[str, TenantRecord]:
         """What this limiter's former lives have left of tenants."""
-        return self.core.limiter.tenants.records.left
+        return self.core.limiter.tenants.records.inherited
 
     def read_digest(self) -> str:
         """What is held, as the log tells it: operators compare it between limiters."""
@@ -472,7 +484,7 @@
 
     def read_life(self) -> tuple[bool, int]:
         """Whether it has settled, and the number of its life."""
-        return self.mesh.settled, self.mesh.life.number
+        return self.replicator.is_settled, self.replicator.incarnation.number
 
     # Its work
 
@@ -564,14 +576,14 @@
     limiter.run(1000.0)
     limiter.list_endpoints(ENDPOINT, "s0", "s1", "s3")
     limiter.overrides.set_by_operator("s1", True, limiter.clock())
-    limiter.peering.say("s1", limiter.now)
+    limiter.peering.publish_override("s1", limiter.now)
     limiter.deliver("n1", have(ask=True))
     limiter.run(1000.0)
     limiter.list_endpoints(ENDPOINT, "s0", "s1")
     limiter.run(1000.0)
     limiter.run(40_000.0)  # the former life is closed; what is over ends
     to_first = limiter.frames("n1")
-    limiter.run(TOMB_MS + 30_000.0)
+    limiter.run(TOMBSTONE_MS + 30_000.0)
     limiter.frames("n1")
     limiter.connect("n2", frame({"hello": "n2", "form": 1}))
     limiter.deliver("n2", have())
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -18,7 +18,7 @@
 from scalelb.lab.schedule import Schedule, read_schedule
 from scalelb.lab.virtual import PLAN, Virtual, play
 from scalelb.policy.shared_counter import WINDOW_MS
-from scalelb.policy.tenant import Tenant
+from scalelb.policy.token_bucket import TokenBucket
 
 ROOT = Path(__file__).parent.parent
 FAULTS = ROOT / "bench" / "faults"
@@ -184,7 +184,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The planted break of the two tests above: what the others took is credited out of what ran over.
-    monkeypatch.setattr(Tenant, "level", lambda c, at, others, blind: c.filled(at) - others - blind)
+    monkeypatch.setattr(
+        TokenBucket,
+        "balance_at_answer",
+        lambda bucket, at, others, blind: bucket.counter_balance_then(at) - others - blind,
+    )
     schedule = quiet(read_schedule(FAULTS / "kill.toml"))
     found, owed = beyond(Virtual(schedule, 3, 3, 5000.0), schedule)
     assert found > owed + MOST_UNITS
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -14,19 +14,20 @@
 SOURCES = sorted((ROOT / "scalelb").rglob("*.py"))
 # fmt: off
 MAY_USE = {
-    "fairness": {"fairness"},
-    "agreement": {"agreement"},
-    "policy": {"fairness", "policy"},
-    "core": {"core", "fairness", "policy"},
+    "admission_queue": {"admission_queue"},
+    "consensus": {"consensus"},
+    "policy": {"admission_queue", "policy"},
+    "core": {"admission_queue", "core", "policy"},
     "protocol": {"protocol"},
     "transport": {"core", "policy", "protocol", "transport"},
-    "middleware": {"core", "fairness", "policy", "protocol", "middleware"},
-    "peers": {"peers"},
+    "middleware": {"admission_queue", "core", "policy", "protocol", "middleware"},
+    "replication": {"replication"},
     "program": {
-        "agreement", "core", "fairness", "peers", "policy", "protocol", "transport", "program",
+        "admission_queue", "consensus", "core", "replication", "policy", "protocol", "transport", "program",
     },
     "lab": {
-        "agreement", "core", "fairness", "peers", "policy", "protocol", "transport", "program", "lab",
+        "admission_queue", "consensus", "core", "replication", "policy", "protocol", "transport", "program",
+        "lab",
     },
     "__main__": {"lab"},
     "wirehost": {"policy", "program", "wirehost"},
@@ -34,14 +35,17 @@
 }
 # fmt: on
 FOREIGN = {
-    "fairness": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
+    "admission_queue": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "policy": {"twisted", "socket", "grpc", "httptools", "orjson", "time"},
     "core": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "protocol": {"twisted", "socket"},
-    "agreement": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
-    "peers": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
+    "consensus": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
+    "replication": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
 }
 
+# Policy modules that decide without chance: what they decide follows from their arguments alone.
+NO_CHANCE = ("concurrency_limit", "counter_contention", "retry_budget", "subsetting")
+
 
 def imported(path: Path) -> set[str]:
     found = set()
@@ -65,10 +69,16 @@
         assert parts[0] not in FOREIGN.get(layer, set()), name
 
 
+@pytest.mark.parametrize("module", NO_CHANCE)
+def test_module_draws_no_random_numbers(module: str) -> None:
+    assert "random" not in imported(ROOT / "scalelb" / "policy" / f"{module}.py")
+
+
 def test_the_program_does_without_the_extras_until_they_are_configured() -> None:
     extras = (
-        "grpc google.protobuf starlette numpy pyarrow click scalelb.lab scalelb.peers scalelb.agreement "
-        "scalelb.program.peer_connections scalelb.program.peering scalelb.transport.peerlink asyncio"
+        "grpc google.protobuf starlette numpy pyarrow click scalelb.lab scalelb.replication "
+        "scalelb.consensus scalelb.program.peer_connections scalelb.program.peering "
+        "scalelb.transport.peerlink asyncio"
     )
     code = (
         "import sys, scalelb.program.__main__, scalelb.wirehost\n"
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 from scenario import Stage
 
+from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.core.endpoint_overrides import MAX_OVERRIDES, EndpointOverrides, Override
-from scalelb.fairness.records import Record
 from scalelb.policy.events import EndpointsListed
 from scalelb.policy.handover import leave_handover, take_handover
 from scalelb.policy.settings import Plan
@@ -299,7 +299,7 @@
     usual = limiter.estimates.latency_ms
     take_handover(limiter, account, fleet.now)
     assert limiter.estimates.latency_ms == usual
-    assert "c0" not in limiter.tenants.records.left or account["customers"]["c0"][0] < 1e9
+    assert "c0" not in limiter.tenants.records.inherited or account["customers"]["c0"][0] < 1e9
 
 
 def test_a_limiter_without_door_or_socket_reads_no_folder_and_writes_none() -> None:
@@ -336,7 +336,9 @@
 def test_who_comes_to_a_life_that_has_left_gets_no_share_and_none_is_forgotten_by_the_next() -> None:
     old, new = Fleet(2, has_counter=False), Fleet(2, has_counter=False)
     limiter = old.limiters[0]
-    limiter.tenants.records.put("c9", Record(0.0, 0.0, 0.0, 0.0, -1, old.now, old.now + 5000.0), old.now)
+    limiter.tenants.records.put(
+        "c9", TenantRecord(0.0, 0.0, 0.0, 0.0, -1, old.now, old.now + 5000.0), old.now
+    )
     account = orjson.loads(orjson.dumps(leave_handover(limiter, old.now)))
     old.ask("stranger", 0, 1.0, sharing_limiters=1)
     assert limiter.tenants.tenants["stranger"].bucket.balance <= 0.0
