--- a/scalelb/lab/snapshot_transfer.py
+++ b/scalelb/lab/snapshot_transfer.py
@@ -65,7 +65,8 @@
         """Settle alone, hold the log of an earlier incarnation, start the stand-ins."""
         self.replicator.tick(self.now() + 1.0, lambda name: True)
         log = self.replicator.replica.log_of(Incarnation("n0", 1, 5))
-        assert self.replicator.is_settled and log is not None
+        assert self.replicator.is_settled
+        assert log is not None
         at = round(self.reactor.seconds() * 1000.0)
         for number in range(self.accounts):
             account = [1.25, 0.5, 12.5, 42.0, 7, at, at + 120_000]
--- a/scalelb/program/account_replication.py
+++ b/scalelb/program/account_replication.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from scalelb.admission_queue.tenant_records import TenantRecord
+from scalelb.core.lifecycle import Core
 from scalelb.policy.tenant import Tenant
-from scalelb.routing.core import Core
 
 ACCOUNT_PREFIX = "u:"
 MAX_PUBLISHED_ACCOUNTS = 100_000  # at once
--- a/scalelb/program/endpoint_reports.py
+++ b/scalelb/program/endpoint_reports.py
@@ -15,11 +15,11 @@
 from collections.abc import Callable
 from typing import Any
 
+from scalelb.core.endpoint_overrides import EndpointOverrides
+from scalelb.core.lifecycle import Core
 from scalelb.policy.idempotency_keys import preferred_groups
 from scalelb.policy.outlier_detection import TrackedEndpoint, fault_memory_ms
 from scalelb.replication import Entry, Incarnation, Replicator
-from scalelb.routing.bans import Bans
-from scalelb.routing.core import Core
 
 FAULTY_PREFIX = "b:"
 RECOVERED_PREFIX = "t:"
@@ -43,14 +43,14 @@
         self,
         replicator: Replicator,
         core: Core,
-        bans: Bans,
+        overrides: EndpointOverrides,
         write: Callable[[str, Any], None],
         on_overrides_changed: Callable[[list[str]], None],
         log: Callable[..., None],
     ) -> None:
         self.replicator = replicator
         self.core = core
-        self.bans = bans
+        self.overrides = overrides
         self.write = write
         self.on_overrides_changed = on_overrides_changed
         self.log = log
@@ -69,7 +69,7 @@
         own_entries = self.replicator.own_log().entries
         self._publish_outcomes(now, own_entries)
         self._withdraw_old_recoveries(now)
-        listed = set(self.bans.listed)
+        listed = set(self.overrides.listed)
         self._publish_removals(now, listed)
         self._withdraw_unlisted(own_entries, listed)
         self.last_listed = listed
@@ -136,7 +136,7 @@
         """A peer's report is new, or was withdrawn.  Bounds the memory: three kinds for each listed
         endpoint."""
         if is_reported:
-            has_room = len(self.reporters) < len(REPORT_PREFIXES) * len(self.bans.listed)
+            has_room = len(self.reporters) < len(REPORT_PREFIXES) * len(self.overrides.listed)
             if key in self.reporters or has_room:
                 self.reporters.setdefault(key, set()).add(incarnation)
             return
@@ -194,7 +194,7 @@
                 endpoint.clear_faults(limiter.estimates.latency_ms)
 
     def _hold_back_removed(self) -> None:
-        listed = self.bans.listed
+        listed = self.overrides.listed
         reported = [
             name
             for name in sorted(listed)
@@ -205,7 +205,7 @@
             return
         changed = held ^ self.held_as_removed
         self.held_as_removed = held
-        self.bans.held = held
+        self.overrides.distrusted = held
         self.on_overrides_changed(sorted(changed))
         self.log("heeded", gone=sorted(held))
 
--- a/scalelb/program/idempotency_records.py
+++ b/scalelb/program/idempotency_records.py
@@ -16,11 +16,11 @@
 from math import isfinite
 from typing import Any, NamedTuple
 
+from scalelb.core.lifecycle import Core
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.request import Request
 from scalelb.policy.settings import DeduplicationScope, Idempotency
 from scalelb.replication import Incarnation
-from scalelb.routing.core import Core
 
 IDEMPOTENCY_PREFIX = "k:"
 MAX_OWN_KEYS = 8192
--- a/scalelb/program/peer_connections.py
+++ b/scalelb/program/peer_connections.py
@@ -40,7 +40,8 @@
         loop = program.loop
         scope = OverrideScope.FLEET if settings.fleet_bans else OverrideScope.LIMITER
         self.peering = Peering(
-            self.replicator, loop.core, loop.bans, loop.clock, loop.banned, program.log, scope, self.flush
+            self.replicator, loop.core, loop.overrides, loop.clock, loop.overrides_changed, program.log,
+            scope, self.flush,
         )  # fmt: skip
         others = {name: at for name, at in settings.members.items() if name != config.name}
         self.links = PeerLinks(
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -19,6 +19,8 @@
 from typing import Any
 from zlib import crc32
 
+from scalelb.core.endpoint_overrides import EndpointOverrides, Override
+from scalelb.core.lifecycle import Core
 from scalelb.policy.handover import leave_handover
 from scalelb.program.account_replication import (
     ACCOUNT_PREFIX,
@@ -33,8 +35,6 @@
     IdempotencyRecords,
 )
 from scalelb.replication import Incarnation, MemberState, OutgoingFrame, Replicator
-from scalelb.routing.bans import Bans, Word
-from scalelb.routing.core import Core
 
 OVERRIDE_PREFIX = "x:"
 REVIEW_INTERVAL_MS = 1000.0  # between two reviews of the endpoints
@@ -57,7 +57,7 @@
         self,
         replicator: Replicator,
         core: Core,
-        bans: Bans,
+        overrides: EndpointOverrides,
         clock: Callable[[], float],
         on_overrides_changed: Callable[[list[str]], None],
         log: Callable[..., None],
@@ -67,7 +67,7 @@
         """`on_overrides_changed` takes the endpoints; `flush` sends what was written at once."""
         self.replicator = replicator
         self.core = core
-        self.bans = bans
+        self.overrides = overrides
         self.clock = clock
         self.on_overrides_changed = on_overrides_changed
         self.log = log
@@ -77,7 +77,7 @@
         self.replicator_now = 0.0  # the replicator's time at the newest tick
         self.close_earlier_at = inf  # when all that earlier incarnations granted is over
         self.accounts = AccountReplication(core, self.write)
-        self.endpoints = EndpointReports(replicator, core, bans, self.write, on_overrides_changed, log)
+        self.endpoints = EndpointReports(replicator, core, overrides, self.write, on_overrides_changed, log)
         self.idempotency = IdempotencyRecords(core, clock, self.write, flush)
         replicator.on_settled = self.on_settled
         replicator.on_closed = self.on_closed
@@ -115,9 +115,9 @@
 
     def publish_override(self, endpoint: str, replicator_now: float) -> None:
         """An operator has ejected an endpoint, or called it back."""
-        override = self.bans.words.get(endpoint)
+        override = self.overrides.by_endpoint.get(endpoint)
         if override is not None:
-            value = [round(override.at, 3), override.out]
+            value = [round(override.set_at, 3), override.is_ejected]
             self.replicator.write(OVERRIDE_PREFIX + endpoint, value, replicator_now)
 
     # Called by the replicator
@@ -168,7 +168,7 @@
             case [int() | float() as at, bool(is_ejected)] if not isinstance(at, bool):
                 if not 0 <= at < MAX_OVERRIDE_AT_MS:
                     return
-                if self.bans.join([(endpoint, Word(float(at), is_ejected))]):
+                if self.overrides.merge([(endpoint, Override(float(at), is_ejected))]):
                     self.on_overrides_changed([endpoint])
 
     # For the log and for operators
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,6 +1,6 @@
-"""The scenario language of the network tests: a line a step, `WHO VERB WHAT`, on sockets in memory.
+r"""The scenario language of the network tests: a line a step, `WHO VERB WHAT`, on sockets in memory.
 
-client  send PING            bytes from a peer; `\\n` in WHAT is a line end, {...} a Python expression
+client  send PING            bytes from a peer; `\n` in WHAT is a line end, {...} a Python expression
 backend expect CALL.GET      what has come to a peer since its last `expect` holds this
 backend silent               nothing has come since
 client  close                the peer ends its connection
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -25,6 +25,9 @@
 
 from scalelb.admission_queue.tenant_records import TenantRecord, TenantRecords
 from scalelb.consensus import Acceptor, Learner, LeaseTimes, Proposer
+from scalelb.core.endpoint_overrides import EndpointOverrides, Override
+from scalelb.core.incoming_request import IncomingRequest
+from scalelb.core.lifecycle import Core
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import CounterReplied, EndpointsListed, Outcome
 from scalelb.policy.handover import leave_handover, take_handover
@@ -32,11 +35,9 @@
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan
 from scalelb.program.peering import OverrideScope, Peering
 from scalelb.program.policy_register import PolicyRegister
-from scalelb.program.succession import Succession
+from scalelb.program.predecessor import Incarnation
 from scalelb.replication import ReplicationSettings, Replicator
 from scalelb.replication.replicated_log import TOMBSTONE_MS
-from scalelb.routing.bans import Bans, Word
-from scalelb.routing.core import Core
 from scalelb.transport.peerlink import PeerLinks
 
 DATA = Path(__file__).parent / "data" / "b1c877a"
@@ -51,15 +52,15 @@
 # Handover files: `life-N`, `ready-N`, `left-N`, `bans-N`
 
 
-def start_incarnation(folder: Path) -> Succession:
+def start_incarnation(folder: Path) -> Incarnation:
     """The next incarnation among those that share this folder."""
-    incarnation = Succession(str(folder), ignore)
-    incarnation.enter()
+    incarnation = Incarnation(str(folder), ignore)
+    incarnation.register()
     return incarnation
 
 
 @contextmanager
-def running_predecessor(folder: Path, names: tuple[str, ...]) -> Iterator[Succession]:
+def running_predecessor(folder: Path, names: tuple[str, ...]) -> Iterator[Incarnation]:
     """The stored files of an incarnation that still runs, and the one that has started after it."""
     shared = folder / "scalelb"
     shared.mkdir()
@@ -69,22 +70,22 @@
     fcntl.flock(lock, fcntl.LOCK_EX)
     successor = start_incarnation(folder)
     yield successor
-    os.close(successor.lock)
+    os.close(successor.lock_descriptor)
     os.close(lock)
 
 
 def write_handover_files(
-    folder: Path, account: dict[str, Any], overrides: dict[str, Word]
+    folder: Path, account: dict[str, Any], overrides: dict[str, Override]
 ) -> dict[str, bytes]:
     """What incarnation 3 leaves to its successor."""
     shared = folder / "scalelb"
     shared.mkdir(parents=True)
     (shared / f"life-{INCARNATION - 1}").touch()  # so that the next number is 3
     incarnation = start_incarnation(folder)
-    incarnation.say_ready()
-    incarnation.tell_bans(overrides)
-    incarnation.leave(account)
-    os.close(incarnation.lock)
+    incarnation.announce_ready()
+    incarnation.publish_overrides(overrides)
+    incarnation.hand_over(account)
+    os.close(incarnation.lock_descriptor)
     return {path.name: path.read_bytes() for path in shared.iterdir() if path.name.endswith("-3")}
 
 
@@ -404,13 +405,13 @@
         )
         self.net = net
         self.wires: dict[str, Wire] = {}
-        self.bans = Bans()
-        self.fetched: list[Any] = []
+        self.overrides = EndpointOverrides()
+        self.sent_attempts: list[Any] = []
         self.core = Core(PEER_SETTINGS, 7, self, self.clock)
         self.peering = Peering(
             self.replicator,
             self.core,
-            self.bans,
+            self.overrides,
             self.clock,
             self.overridden,
             ignore,
@@ -461,8 +462,8 @@
         link = self.replicator.links[peer]
         return link.is_settled, {(*life,): state for life, state in link.known_states.items()}
 
-    def read_overrides(self) -> dict[str, Word]:
-        return self.bans.words
+    def read_overrides(self) -> dict[str, Override]:
+        return self.overrides.by_endpoint
 
     def read_attempt(self, tenant: str, key: str) -> tuple[int, int, float] | None:
         """Zone and cell where a key may have run, and when it was sent there."""
@@ -490,39 +491,46 @@
     def list_endpoints(self, *names: str) -> None:
         started = NOW_MS - 3_600_000.0
         infos = [Endpoint(n, EndpointState.SERVING, zone=2, cell=5, started_at=started) for n in names]
-        self.core.listed(self.bans.told(infos, True), True)
+        self.core.on_endpoints(self.overrides.on_endpoints(infos, True), True)
         self.core.turn()
 
     def overridden(self, some: list[str]) -> None:
-        self.core.listed(self.bans.entries(some), False)
+        self.core.on_endpoints(self.overrides.effective_entries(some), False)
 
     def request(self, tenant: str, outcome: Outcome, kind: int = 0, key: str = "") -> None:
         """A request of two units, each of whose attempts ends like this."""
         caller: Any = self
-        self.core.arrive(
-            caller, None, customer=tenant, plan=0, kind=kind, expires_ms=2000.0, units=2.0, doors=3, key=key
+        incoming = IncomingRequest(
+            tenant=tenant,
+            plan_index=0,
+            class_index=kind,
+            expires_in_ms=2000.0,
+            units=2.0,
+            sharing_limiters=3,
+            idempotency_key=key,
         )
+        self.core.submit(caller, None, incoming)
         self.core.turn()
-        while self.fetched:
-            self.core.fetched(self.fetched.pop(), outcome)
+        while self.sent_attempts:
+            self.core.attempt_ended(self.sent_attempts.pop(), outcome)
             self.core.turn()
 
-    def answered(self, *told: Any) -> None:
+    def on_answer(self, *told: Any) -> None:
         """A request's answer, for nobody."""
 
-    def fetch(self, ticket: Any, server: str, patience_ms: float) -> None:
-        self.fetched.append(ticket)
+    def send_attempt(self, request: Any, endpoint: str, timeout_ms: float) -> None:
+        self.sent_attempts.append(request)
 
-    def drop(self, ticket: Any) -> None: ...
+    def abandon_attempt(self, request: Any) -> None: ...
 
-    def count(self, name: int, amount: float, keep_ms: float) -> None:
-        self.core.counted(name, Outcome.OK, max(0.0, amount), 3.0)
+    def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
+        self.core.counter_replied(counter_key, Outcome.OK, max(0.0, amount), 3.0)
 
-    def probe(self, server: str) -> None: ...
+    def check_health(self, endpoint: str) -> None: ...
 
-    def listed(self, servers: Any, full: bool) -> None: ...
+    def on_endpoints(self, endpoints: Any, is_complete: bool) -> None: ...
 
-    def wake(self, at: float) -> None: ...
+    def wake_at(self, due_at: float) -> None: ...
 
 
 def frame(message: Any) -> bytes:
@@ -567,7 +575,7 @@
     limiter.request("grace", Outcome.OK)
     limiter.run(1000.0)
     limiter.list_endpoints(ENDPOINT, "s0", "s1", "s3")
-    limiter.bans.say("s1", True, limiter.clock())
+    limiter.overrides.set_by_operator("s1", True, limiter.clock())
     limiter.peering.publish_override("s1", limiter.now)
     limiter.deliver("n1", have(ask=True))
     limiter.run(1000.0)
@@ -624,7 +632,11 @@
         (folder / name).write_bytes(data)
 
 
-OVERRIDES = {"s0": Word(NOW_MS - 5000.0, True), "s1": Word(NOW_MS - 0.5, False), "zoë": Word(NOW_MS, True)}
+OVERRIDES = {
+    "s0": Override(NOW_MS - 5000.0, True),
+    "s1": Override(NOW_MS - 0.5, False),
+    "zoë": Override(NOW_MS, True),
+}
 
 
 def stored(name: str) -> bytes:
--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -15,11 +15,11 @@
 from test_middleware import HEADERS
 
 from scalelb.admission_queue import AdmissionQueueSettings
+from scalelb.core.ports import Verdict
 from scalelb.middleware import Host, LimiterMiddleware
 from scalelb.policy.housekeeping import VISITED_TENANTS
 from scalelb.policy.tenant_table import MAX_TENANTS
 from scalelb.program.config import ConfigError, read_admission_queue
-from scalelb.routing.core import Verdict
 
 ONE = AdmissionQueueSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
 TWO = AdmissionQueueSettings(start_requests=2.0, least_requests=2.0, most_requests=2.0)
@@ -48,8 +48,9 @@
     stage.play("client1 send {call(1)}\nbackend expect 0000000000000001")
     stage.play("client2 send {call(2)}\nbackend2 expect 0000000000000002")
     stage.play(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 silent")
-    assert stage.loop.core.door is not None
-    assert list(stage.loop.core.door.queued.by_id) == [3]
+    adapter = stage.loop.core.queue_adapter
+    assert adapter is not None
+    assert list(adapter.queue.queued.by_id) == [3]
 
 
 @pytest.mark.parametrize("story", STORIES.values(), ids=STORIES.keys())
@@ -57,10 +58,10 @@
     stage = Stage(fairness=TWO, has_counter=False)
     queue_third_request(stage)
     stage.play(story)
-    door = stage.loop.core.door
-    assert door is not None
-    assert not door.queued.by_id
-    assert not door.fair_queue.flows
+    adapter = stage.loop.core.queue_adapter
+    assert adapter is not None
+    assert not adapter.queue.queued.by_id
+    assert not adapter.queue.fair_queue.flows
 
 
 def test_overdue_request_is_rejected_and_never_sent() -> None:
@@ -92,16 +93,16 @@
 
 def test_full_core_answers_each_request_once() -> None:
     back = Backside(SITE_ONE, door=replace(ONE, held_most=5))
-    clients = [ask(back, customer=f"c{n % 7}")[0] for n in range(300)]
+    clients = [ask(back, tenant=f"c{n % 7}")[0] for n in range(300)]
     back.run(10_000.0)
     assert all(len(client.answers) == 1 for client in clients)
-    door = back.core.door
-    assert door is not None
+    assert back.core.queue_adapter is not None
+    door = back.core.queue_adapter.queue
     assert not (door.queued.by_id)
     assert not (door.forwarded.by_id)
     assert not (door.forwarded.unsent_by_flow)
     assert not (door.forwarded.in_flight)
-    assert not back.core.tickets
+    assert not back.core.open_requests
 
 
 @pytest.mark.parametrize("through", [1, 2])
@@ -110,17 +111,18 @@
     for _ in range(2):
         ask(back)
         back.run()
-    keyed: dict[str, Any] = {"kind": 1, "key": "k1", "units": 2.0, "expires_ms": 4000.0}
-    first, ticket = ask(back, door=0, **keyed)
+    keyed: dict[str, Any] = {"class_index": 1, "idempotency_key": "k1", "units": 2.0, "expires_in_ms": 4000.0}
+    first, request = ask(back, listener=0, **keyed)
     back.run()
-    assert back.core.door is not None
-    assert ticket.ident in back.core.door.queued.by_id
+    adapter = back.core.queue_adapter
+    assert adapter is not None
+    assert request.request_id in adapter.queue.queued.by_id
     before = back.core.limiter.tenants.tenants["ad"].bucket.balance
-    second, _ = ask(back, door=through - 1, retry=True, **keyed)
+    second, _ = ask(back, listener=through - 1, is_retry=True, **keyed)
     back.run()
     spent = before - back.core.limiter.tenants.tenants["ad"].bucket.balance
     assert spent == 0.0  # both wait: nothing is charged before it goes on
-    door = back.core.door
+    door = adapter.queue
     charged: list[float] = []
     charge = back.core.limiter.sender._charge
 
@@ -138,7 +140,7 @@
 
 def test_admissions_are_queued_and_count_as_in_flight_for_the_usual_latency() -> None:
     back = Backside(SITE_ONE, door=ONE)
-    clients = [ask(back, admission=True)[0] for _ in range(4)]
+    clients = [ask(back, admission_only=True)[0] for _ in range(4)]
     back.run()
     answered = [len(client.answers) for client in clients]
     assert sum(answered) < 4
@@ -151,14 +153,14 @@
     for _ in range(2):
         ask(back)
         back.run()
-    client, ticket = ask(back, units=3.0)
+    client, request = ask(back, units=3.0)
     back.run()
     balance = back.core.limiter.tenants.tenants["ad"].bucket.balance
-    back.core.gone(ticket)
+    back.core.cancel(request)
     back.run(20.0)
     assert not client.answers
     assert back.core.limiter.tenants.tenants["ad"].bucket.balance >= balance
-    assert not any(ident == str(ticket.ident) for ident, _ in back.fetched)
+    assert not any(ident == str(request.request_id) for ident, _ in back.sent_attempts)
 
 
 def test_middleware_uses_the_same_admission_queue() -> None:
@@ -186,8 +188,9 @@
         asked = [asyncio.ensure_future(one()) for _ in range(4)]
         for _ in range(20):
             await asyncio.sleep(0)
-        assert host.core.door is not None
-        assert host.core.door.queued.by_id
+        adapter = host.core.queue_adapter
+        assert adapter is not None
+        assert adapter.queue.queued.by_id
         assert len(seen) < 4
         for _ in range(100):
             now[0] += 10.0
@@ -206,7 +209,7 @@
     clients: list[Client] = [ask(back, units=2.0)[0] for _ in range(40)]
     back.run()
     answers = [answer for client in clients for answer in client.answers]
-    told = sorted(wait for verdict, wait in answers if verdict is Verdict.REFUSED)
+    told = sorted(wait for verdict, wait in answers if verdict is Verdict.REJECTED)
     assert len(told) > 10
     gaps = [after - before for before, after in pairwise(told)]
     assert min(gaps) >= 499.0  # 2 units at 4 a second
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -38,8 +38,8 @@
         session.pause()
         session.hung_up = lambda: True
     stage.play(f"{then}\n release backend\n backend silent\n wait 3100")
-    assert stage.loop.core.tally.get("connect failed", 0) == 0  # nothing is held against the backend
-    assert not stage.loop.core.tickets
+    assert stage.loop.core.counts.get("connect failed", 0) == 0  # nothing is held against the backend
+    assert not stage.loop.core.open_requests
     assert not stage.loop.core.limiter.requests
 
 
@@ -120,8 +120,13 @@
     # Its look for the account of the life before went on after the end had begun, and opened the door anew.
     stage = Stage()
     program = stage.program
-    said = {"bans": [], "relieved": False, "alive": False, "left": None}
-    program.succession = Mock(**{f"{name}.return_value": value for name, value in said.items()})
+    said = {
+        "read_overrides": [],
+        "has_successor": False,
+        "predecessor_is_running": False,
+        "read_handover": None,
+    }
+    program.incarnation = Mock(**{f"{name}.return_value": value for name, value in said.items()})
     program.door.port = None
     program.stop()
     stage.wait(1000)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -136,8 +136,7 @@
 
 
 def beyond(run: Virtual, schedule: Schedule) -> tuple[float, float]:
-    """The most units that a customer was sent on beyond rate and burst, and how many are owed to causes that
-    are known:
+    """The most units that a customer was sent on beyond rate and burst, and how many have a known cause.
 
     - each limiter overdraws a bucket by one request; half of the burst is kept back for that;
     - as a customer begins, a limiter takes one request of each of the others for an earlier one, paid out of
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports point one way: program, wirehost and middleware over transport over protocol and routing."""
+"""Imports point one way: program, wirehost, middleware over transport over protocol and core over policy."""
 
 from __future__ import annotations
 
@@ -17,18 +17,16 @@
     "admission_queue": {"admission_queue"},
     "consensus": {"consensus"},
     "policy": {"admission_queue", "policy"},
-    "routing": {"admission_queue", "policy", "routing"},
+    "core": {"admission_queue", "core", "policy"},
     "protocol": {"protocol"},
-    "transport": {"policy", "routing", "protocol", "transport"},
-    "middleware": {"admission_queue", "policy", "routing", "protocol", "middleware"},
+    "transport": {"core", "policy", "protocol", "transport"},
+    "middleware": {"admission_queue", "core", "policy", "protocol", "middleware"},
     "replication": {"replication"},
     "program": {
-        "consensus", "admission_queue", "replication", "policy", "routing", "protocol", "transport",
-        "program",
+        "admission_queue", "consensus", "core", "replication", "policy", "protocol", "transport", "program",
     },
     "lab": {
-        "consensus", "admission_queue", "replication", "policy", "routing", "protocol", "transport",
-        "program",
+        "admission_queue", "consensus", "core", "replication", "policy", "protocol", "transport", "program",
         "lab",
     },
     "__main__": {"lab"},
@@ -39,7 +37,7 @@
 FOREIGN = {
     "admission_queue": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "policy": {"twisted", "socket", "grpc", "httptools", "orjson", "time"},
-    "routing": {"twisted", "socket", "grpc", "httptools", "orjson"},
+    "core": {"twisted", "socket", "grpc", "httptools", "orjson"},
     "protocol": {"twisted", "socket"},
     "consensus": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
     "replication": {"twisted", "socket", "grpc", "httptools", "orjson", "time", "random"},
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -462,7 +462,7 @@
         other: Any = member
         limiter = other.core.limiter
         if other is not liar:
-            assert not other.bans.held
+            assert not other.overrides.distrusted
             assert len([s for s in limiter.selector.endpoints.values() if s.is_warm()]) == len(found.servers)
             assert not any(server.ejected_until for server in limiter.selector.endpoints.values())
         assert max((c.bucket.balance for c in limiter.tenants.tenants.values()), default=0.0) <= PLAN.burst
@@ -522,14 +522,14 @@
 def test_bans_are_known_to_the_next_incarnation() -> None:
     found = flock(3, seconds=0.1)
     member: Any = found.limiters[1]
-    assert member.bans.say("deck-2", True, found.kernel.now)
+    assert member.overrides.set_by_operator("deck-2", True, found.kernel.now)
     member.peering.publish_override("deck-2", found.now)
     found.run(found.now + 300)
     found.kill(1, 200.0)
     found.run(found.now + 2000)
     new: Any = found.limiters[1]
     assert new is not member
-    assert new.bans.out("deck-2")
+    assert new.overrides.is_ejected("deck-2")
     assert "deck-2" not in new.core.limiter.selector.endpoints
 
 
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -97,9 +97,9 @@
     names = ("life-3", "ready-3", "left-3", "bans-3")
     (tmp_path / "read").mkdir()
     with running_predecessor(tmp_path / "read", names) as successor:
-        assert (successor.number, successor.before) == (4, 3)
-        account = successor.left()
-        overrides = dict(successor.bans())
+        assert (successor.number, successor.predecessor) == (4, 3)
+        account = successor.read_handover()
+        overrides = dict(successor.read_overrides())
     assert overrides == {
         "s0": (1_699_999_995_000.0, True),
         "s1": (1_699_999_999_999.5, False),
@@ -113,7 +113,7 @@
 
 def test_nothing_is_read_before_the_predecessor_has_left(tmp_path: Path) -> None:
     with running_predecessor(tmp_path, ("life-3", "ready-3", "bans-3")) as successor:
-        assert (successor.before, successor.left()) == (3, None)
+        assert (successor.predecessor, successor.read_handover()) == (3, None)
 
 
 def test_an_incarnation_is_relieved_by_a_later_one_that_is_ready(tmp_path: Path) -> None:
@@ -122,10 +122,10 @@
     shutil.copy(DATA / "life-3", shared / "life-3")
     with (shared / "life-3").open("r+") as later:
         fcntl.flock(later, fcntl.LOCK_EX)
-        assert not earlier.relieved()
+        assert not earlier.has_successor()
         shutil.copy(DATA / "ready-3", shared / "ready-3")
-        assert earlier.relieved()
-    os.close(earlier.lock)
+        assert earlier.has_successor()
+    os.close(earlier.lock_descriptor)
 
 
 def test_handover_account_is_taken_over_and_written_back() -> None:
