--- a/scalelb/program/account_replication.py
+++ b/scalelb/program/account_replication.py
@@ -57,7 +57,8 @@
             self.write(ACCOUNT_PREFIX + name, None)
 
     def _publish(self, tenant: Tenant, now: float) -> None:
-        if not tenant.bucket.plan.rate_per_s and not tenant.bucket.plan.ceiling_rate_per_s:
+        plan = tenant.bucket.plan
+        if not plan.rate_per_s and not plan.ceiling_rate_per_s:
             return
         is_published = tenant.name in self.full_at
         record = tenant.bucket.to_record(now, self.core.limiter.leases.is_counter_available())
@@ -72,11 +73,12 @@
     def recover(self, name: str, record: TenantRecord) -> bool:
         """Take over what an earlier incarnation published of a tenant; False where something newer is
         known."""
-        limiter = self.core.limiter
-        known = limiter.tenants.records.inherited.get(name)
-        if name in limiter.tenants.tenants or (known is not None and known.evicted_at > record.evicted_at):
+        tenants = self.core.limiter.tenants
+        known = tenants.records.inherited.get(name)
+        is_older = known is not None and known.evicted_at > record.evicted_at
+        if name in tenants.tenants or is_older:
             return False
-        limiter.tenants.records.inherited[name] = record
+        tenants.records.inherited[name] = record
         return True
 
 
--- a/scalelb/program/endpoint_reports.py
+++ b/scalelb/program/endpoint_reports.py
@@ -13,7 +13,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from math import exp
 from typing import Any
 
 from scalelb.core.endpoint_overrides import EndpointOverrides
@@ -77,30 +76,33 @@
 
     def _publish_outcomes(self, now: float, own_entries: dict[str, Entry]) -> None:
         limiter = self.core.limiter
-        decay_ms = fault_memory_ms(limiter.estimates.answer_interval_ms, len(limiter.selector.endpoints))
-        for name, server in limiter.selector.endpoints.items():
+        endpoints = limiter.selector.endpoints
+        interval_ms = limiter.estimates.answer_interval_ms
+        decay_ms = fault_memory_ms(interval_ms, len(endpoints))
+        for name, endpoint in endpoints.items():
             key = FAULTY_PREFIX + name
             was_faulty = key in own_entries and own_entries[key].value is not None
-            failed_ratio = server.failure_ratio * exp((server.updated_at - now) / decay_ms)
-            is_faulty = failed_ratio > FAULTY_RATIO and server.answer_weight >= MIN_OUTCOMES
+            failure_ratio = endpoint.current_failure_ratio(now, decay_ms)
+            is_faulty = failure_ratio > FAULTY_RATIO and endpoint.answer_weight >= MIN_OUTCOMES
             # Without this line the report would fade while one member probes, and all would find it out anew.
-            if was_faulty and self._is_being_probed(name, server):
+            if was_faulty and self._is_being_probed(name, endpoint):
                 is_faulty = True
             if is_faulty != was_faulty:
-                self.write(key, [round(server.endpoint.started_at)] if is_faulty else None)
+                self.write(key, [round(endpoint.endpoint.started_at)] if is_faulty else None)
             is_prober = self.probers.get(name) == self.replicator.incarnation.name
-            if is_prober and server.consecutive_successes >= SUCCESSES_TO_RECOVER:
+            if is_prober and endpoint.consecutive_successes >= SUCCESSES_TO_RECOVER:
                 self.recovered_at[name] = now
-                self.write(RECOVERED_PREFIX + name, [round(server.endpoint.started_at)])
+                self.write(RECOVERED_PREFIX + name, [round(endpoint.endpoint.started_at)])
 
-    def _is_being_probed(self, name: str, server: TrackedEndpoint) -> bool:
-        has_recovered = name in self.recovery_taken_at or server.consecutive_successes >= SUCCESSES_TO_RECOVER
+    def _is_being_probed(self, name: str, endpoint: TrackedEndpoint) -> bool:
+        is_good = endpoint.consecutive_successes >= SUCCESSES_TO_RECOVER
+        has_recovered = name in self.recovery_taken_at or is_good
         return name in self.probers and not has_recovered
 
     def _withdraw_old_recoveries(self, now: float) -> None:
-        servers = self.core.limiter.selector.endpoints
+        endpoints = self.core.limiter.selector.endpoints
         for name, recovered_at in list(self.recovered_at.items()):
-            successes = servers[name].consecutive_successes if name in servers else 0
+            successes = endpoints[name].consecutive_successes if name in endpoints else 0
             if now - recovered_at > RECOVERY_REPORT_MS or successes < SUCCESSES_TO_RECOVER:
                 del self.recovered_at[name]
                 self.write(RECOVERED_PREFIX + name, None)
@@ -164,32 +166,32 @@
 
     def _choose_probers(self, replicator_now: float) -> None:
         replicator = self.replicator
-        servers = self.core.limiter.selector.endpoints
+        endpoints = self.core.limiter.selector.endpoints
         own = {key for key, entry in replicator.own_log().entries.items() if entry.value is not None}
         present: list[str] = []
         if not replicator.is_isolated(replicator_now):  # else it decides by what it has found itself
             present = replicator.present_members(replicator_now)
         report_counts = {}
-        for name in servers:
+        for name in endpoints:
             key = FAULTY_PREFIX + name
             report_counts[name] = len(self._reporting_members(key)) + (1 if key in own else 0)
-        faulty = [name for name in servers if report_counts[name] >= REPORTS_NEEDED]
+        faulty = [name for name in endpoints if report_counts[name] >= REPORTS_NEEDED]
         faulty.sort(key=lambda name: (-report_counts[name], name))
-        if not present or len(faulty) > _max_held(len(servers)):
+        if not present or len(faulty) > _max_held(len(endpoints)):
             faulty = []
         self.probers = {name: preferred_groups(name, present)[0] for name in faulty}
 
     def _hold_back_faulty(self, now: float) -> None:
         limiter = self.core.limiter
         for name, prober in self.probers.items():
-            server = limiter.selector.endpoints[name]
+            endpoint = limiter.selector.endpoints[name]
             if prober == self.replicator.incarnation.name:
                 continue  # it probes by its own outlier detection, as a limiter without peers does
             if prober not in self._reporting_members(RECOVERED_PREFIX + name):
-                server.ejected_until = max(server.ejected_until, now + HOLD_MS)
+                endpoint.ejected_until = max(endpoint.ejected_until, now + HOLD_MS)
             elif name not in self.recovery_taken_at:  # once for each report: own outcomes count from here on
                 self.recovery_taken_at[name] = now
-                server.clear_faults(limiter.estimates.latency_ms)
+                endpoint.clear_faults(limiter.estimates.latency_ms)
 
     def _hold_back_removed(self) -> None:
         listed = self.overrides.listed
