--- a/scalelb/admission_queue/__init__.py
+++ b/scalelb/admission_queue/__init__.py
@@ -1,6 +1,6 @@
 """The admission queue: fair queuing, a concurrency limit and Retry-After reservations.
 
-It stands between the listeners and the limiter (`scalelb.routing`), which still decides which endpoint gets a
+It stands between the listeners and the limiter (`scalelb.policy`), which still decides which endpoint gets a
 request, whether it is retried, and what is rejected for quota.  No I/O; times are passed in, in milliseconds.
 See `docs/fairness.md`.
 """
