--- a/scalelb/core/admission.py
+++ b/scalelb/core/admission.py
@@ -7,8 +7,7 @@
 
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.lifecycle import Core
-from scalelb.core.ports import Verdict
-from scalelb.core.request_table import OpenRequest
+from scalelb.core.request_table import OpenRequest, Verdict
 
 
 class AdmissionDecision(NamedTuple):
--- a/scalelb/core/lifecycle.py
+++ b/scalelb/core/lifecycle.py
@@ -14,9 +14,9 @@
 from scalelb.admission_queue import AdmissionQueueSettings
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.limits import DEFAULT_LIMITS, CoreLimits
-from scalelb.core.ports import NO_LOAD_REPORT, Caller, Ports, Replicas, Verdict
+from scalelb.core.ports import NO_LOAD_REPORT, Ports, Replicas
 from scalelb.core.queue_adapter import QueueAdapter
-from scalelb.core.request_table import OpenRequest, RequestTable
+from scalelb.core.request_table import Caller, OpenRequest, RequestTable, Verdict
 from scalelb.core.timers import (
     ATTEMPT_TIMEOUT,
     POLICY,
--- a/scalelb/core/ports.py
+++ b/scalelb/core/ports.py
@@ -1,38 +1,17 @@
-"""What the core needs from outside: the back side, the callers, and the links to other limiters."""
+"""What the core needs from outside: the back side, and the links to other limiters."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from enum import Enum
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
+from scalelb.core.request_table import OpenRequest
 from scalelb.policy.endpoints import Endpoint
 from scalelb.policy.request import Request
 
-if TYPE_CHECKING:
-    from scalelb.core.request_table import OpenRequest
-
 NO_LOAD_REPORT: Mapping[str, float] = {}
 
 
-class Verdict(Enum):
-    """The final answer to a request."""
-
-    SERVED = "served"
-    ADMITTED = "admitted"
-    REJECTED = "refused"
-    FAILED = "failed"
-
-
-class Caller(Protocol):
-    """The front's side of a request: it gets the final answer, once."""
-
-    def on_answer(
-        self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
-    ) -> None:
-        """Pass the answer on.  `value` is a slice that is valid during this call only."""
-
-
 class Ports(Protocol):
     """The back side: carries out what was decided, and reports to the core what became of it."""
 
--- a/scalelb/core/request_table.py
+++ b/scalelb/core/request_table.py
@@ -1,11 +1,28 @@
-"""The open requests and what the core remembers of each."""
+"""The open requests, what the core remembers of each, and who gets its final answer."""
 
 from __future__ import annotations
 
+from enum import Enum
 from math import inf
-from typing import Any
+from typing import Any, Protocol
 
-from scalelb.core.ports import Caller
+
+class Verdict(Enum):
+    """The final answer to a request."""
+
+    SERVED = "served"
+    ADMITTED = "admitted"
+    REJECTED = "refused"
+    FAILED = "failed"
+
+
+class Caller(Protocol):
+    """The front's side of a request: it gets the final answer, once."""
+
+    def on_answer(
+        self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
+    ) -> None:
+        """Pass the answer on.  `value` is a slice that is valid during this call only."""
 
 
 class OpenRequest:
--- a/scalelb/lab/counter_contention.py
+++ b/scalelb/lab/counter_contention.py
@@ -13,8 +13,7 @@
 from typing import Any
 
 from scalelb.core.incoming_request import IncomingRequest
-from scalelb.core.ports import Verdict
-from scalelb.core.request_table import OpenRequest
+from scalelb.core.request_table import OpenRequest, Verdict
 from scalelb.lab.experiment import Fleet
 from scalelb.lab.flock import Flock, Member
 from scalelb.lab.model import START_MS
@@ -36,7 +35,7 @@
     overload_window_ms=1500.0,
     max_units=4.0,
     has_counter=True,
-    counter_timeout_ms=30.0,
+    counter_late_after_ms=30.0,
     sends_retry_after=True,
     max_retry_after_ms=1000.0,
 )
@@ -94,7 +93,7 @@
             if run.counts():
                 run.ends["calls"] += 1
                 run.ends["late"] += outcome is Outcome.TIMEOUT
-                run.ends["over 30 ms"] += took > settings.counter_timeout_ms
+                run.ends["over 30 ms"] += took > settings.counter_late_after_ms
             self.timed(self.core.counter_replied, counter_key, outcome, total, took)
 
         run.counter.add(counter_key, amount, settings.counter_wait_ms, told)
--- a/scalelb/lab/idempotency.py
+++ b/scalelb/lab/idempotency.py
@@ -13,8 +13,7 @@
 from typing import Any
 
 from scalelb.core.incoming_request import IncomingRequest
-from scalelb.core.ports import Verdict
-from scalelb.core.request_table import OpenRequest
+from scalelb.core.request_table import OpenRequest, Verdict
 from scalelb.lab.experiment import Fleet
 from scalelb.lab.flock import Flock, Member
 from scalelb.lab.model import START_MS
--- a/scalelb/lab/model.py
+++ b/scalelb/lab/model.py
@@ -22,8 +22,7 @@
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.lifecycle import Core
 from scalelb.core.limits import CoreLimits
-from scalelb.core.ports import Verdict
-from scalelb.core.request_table import OpenRequest
+from scalelb.core.request_table import OpenRequest, Verdict
 from scalelb.lab.experiment import Experiment, Fleet, Variant
 from scalelb.lab.rows import Row
 from scalelb.lab.traffic import Arrival, Clients
--- a/scalelb/lab/virtual.py
+++ b/scalelb/lab/virtual.py
@@ -13,8 +13,7 @@
 from typing import Any
 
 from scalelb.core.incoming_request import IncomingRequest
-from scalelb.core.ports import Verdict
-from scalelb.core.request_table import OpenRequest
+from scalelb.core.request_table import OpenRequest, Verdict
 from scalelb.lab.checkers import CHECKERS, Event, check, quotas
 from scalelb.lab.experiment import CLASSES, Experiment, Fleet, Variant
 from scalelb.lab.flock import Delays, Flock, Member
--- a/scalelb/middleware/asgi.py
+++ b/scalelb/middleware/asgi.py
@@ -9,7 +9,7 @@
 from scalelb.core.admission import AdmissionDecision, admit
 from scalelb.core.exceptions import OutOfRangeError
 from scalelb.core.incoming_request import IncomingRequest
-from scalelb.core.ports import Verdict
+from scalelb.core.request_table import Verdict
 from scalelb.middleware.host import Host
 from scalelb.protocol import MalformedError, headers
 
--- a/scalelb/policy/admission.py
+++ b/scalelb/policy/admission.py
@@ -76,8 +76,8 @@
         now; `inf`: its tenant has as many attempts in flight as it may.
 
         A request that must wait for the counter needs all of its units, any other its excess over a mean one.
-        While the counter has been unavailable for long a balance that is not negative is enough: this
-        limiter's share of the rate would take minutes to cover an expensive class.
+        Once the counter has been unavailable for long (`is_backoff_at_max`) a balance that is not negative is
+        enough: this limiter's share of the rate would take minutes to cover an expensive class.
         """
         tenant = request.tenant
         bucket = tenant.bucket
@@ -87,7 +87,7 @@
             return 0.0
         if request.must_wait_for_counter:
             needed = request.units - UNITS_TOLERANCE
-        elif self.contention.is_unavailable and not bucket.was_empty:
+        elif self.contention.is_backoff_at_max and not bucket.was_empty:
             needed = 0.0
         else:
             needed = max(0.0, request.units - bucket.mean_units)
@@ -96,15 +96,15 @@
             return 0.0
         return missing
 
-    def is_sampled_for_counter(self, request: Request, now: float, latest_send_at: float) -> bool:
-        """Decide whether the counter is asked for a new request.
+    def sample_for_counter(self, request: Request, now: float, latest_send_at: float) -> bool:
+        """Decide whether the counter is asked for a new request; changes the request and its bucket.
 
         One of a bucket on the counter waits for the answer. Under contention the counter is asked for a
         sample of the requests, with as much more for each; of the others as many are admitted unasked as the
         counter lately granted.
         """
         bucket = request.tenant.bucket
-        if not bucket.is_shared or bucket.balance >= request.units:
+        if not bucket.is_kept_on_counter or bucket.balance >= request.units:
             return True
         if self.is_charged_elsewhere(request, now):
             return True
--- a/scalelb/policy/concurrency_limit.py
+++ b/scalelb/policy/concurrency_limit.py
@@ -32,10 +32,12 @@
         self.limit = MAX_LIMIT
         self.limiters = limiters
 
-    def on_answer(self, late: bool, in_flight: int, gap_ms: float) -> None:
+    def on_answer(self, late: bool, in_flight: int, answer_interval_ms: float) -> None:
         """Adjust the limit to an answer that was `late` or good, while `in_flight` other attempts are out;
-        `gap_ms`: mean time between answers."""
-        step = min(1.0, max(1.0, gap_ms) / FULL_STEP_GAP_MS) * min(1.0, self.limiters / FULL_STEP_LIMITERS)
+        `answer_interval_ms`: mean time between answers."""
+        step = min(1.0, max(1.0, answer_interval_ms) / FULL_STEP_GAP_MS) * min(
+            1.0, self.limiters / FULL_STEP_LIMITERS
+        )
         if late:
             self.limit = max(MIN_LIMIT, min(self.limit, in_flight + 1.0 / step) * DECREASE_FACTOR**step)
         else:
--- a/scalelb/policy/counter_contention.py
+++ b/scalelb/policy/counter_contention.py
@@ -16,9 +16,9 @@
 (`grant_ratio`): at that share, where a request beyond its quota costs as much as one within it earns; at a
 higher one where it costs less, up to all of them from a share of `FULL_ADMISSION_GRANT_RATIO` on.
 
-A late answer is not a failure: the caller waits five times `late_after_ms` for it. Without an answer by
-then the counter is unavailable: it is called again after a backoff that doubles with each failure, so that
-a counter that recovers is not overloaded at once.
+A late answer is not a failure: the caller waits `Settings.counter_wait_ms` for it. Without an answer by
+then the counter is unavailable until the next answer: it is called again after a backoff that doubles with
+each failure, so that a counter that recovers is not overloaded at once.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         self.grant_ratio = 1.0  # of the sampled requests lately
 
     @property
-    def is_unavailable(self) -> bool:
+    def is_backoff_at_max(self) -> bool:
         """Whether the backoff is at its longest, so that no answer should be waited for."""
         return self.backoff_ms >= MAX_BACKOFF_MS
 
--- a/scalelb/policy/counter_lease.py
+++ b/scalelb/policy/counter_lease.py
@@ -33,7 +33,7 @@
 
     def __init__(self, settings: Settings, shortest_objective_ms: float) -> None:
         self.settings = settings
-        self.contention = CounterContention(settings.counter_timeout_ms)
+        self.contention = CounterContention(settings.counter_late_after_ms)
         self.max_wait_ms = MAX_QUEUE_WAIT_RATIO * shortest_objective_ms
         self.calls: dict[int, Tenant] = {}  # in flight, by counter key
 
@@ -49,13 +49,14 @@
         """Return the call for a lease where what is on hand covers less than the queue and one more request,
         or for a report of what was granted unasked; `None` where no call is due.
 
-        From a bucket on the counter only what the queue needs is leased, and the rest is returned at once.
+        Of a bucket kept on the counter only what the queue needs is leased: while nothing is queued, what is
+        on hand is returned first, also where no call follows.
         """
         bucket = tenant.bucket
-        if bucket.is_shared and not tenant.queue.requests and self.is_counter_available():
+        if bucket.is_kept_on_counter and not tenant.queue.requests and self.is_counter_available():
             bucket.return_on_hand()
         spare = bucket.on_hand() - tenant.queue.units
-        is_covered = not has_demand or spare >= (0.0 if bucket.is_shared else bucket.mean_units)
+        is_covered = not has_demand or spare >= (0.0 if bucket.is_kept_on_counter else bucket.mean_units)
         if not bucket.plan.rate_per_s or (is_covered and not self._is_report_due(bucket)):
             return None
         wanted = 0.0 if is_covered else self._wanted_units(tenant)
@@ -64,21 +65,21 @@
             obtainable += bucket.plan.rate_per_s * self.max_wait_ms / 1000
             wanted = max(0.0, min(wanted, obtainable))
             smallest = bucket.mean_units
-            if bucket.is_shared:
+            if bucket.is_kept_on_counter:
                 smallest = min(smallest, tenant.queue.units - bucket.on_hand())
             if wanted < smallest and not self._is_report_due(bucket):
                 return None
         return self.call(tenant, now, wanted)
 
     def _is_report_due(self, bucket: TokenBucket) -> bool:
-        limit = MAX_UNREPORTED_UNITS if bucket.is_shared else bucket.mean_units
+        limit = MAX_UNREPORTED_UNITS if bucket.is_kept_on_counter else bucket.mean_units
         return abs(bucket.unreported) >= limit
 
     def _wanted_units(self, tenant: Tenant) -> float:
         """Return the units that the queue lacks, and some for the demand to come."""
         bucket = tenant.bucket
         ahead = 0.0
-        if not bucket.is_shared:
+        if not bucket.is_kept_on_counter:
             ahead = max(LEASE_REQUESTS * bucket.mean_units, tenant.demand_per_s * LEASE_DEMAND_S)
         share_of_capacity = bucket.capacity() / bucket.sharing_limiters
         ahead = min(ahead, max(share_of_capacity, bucket.mean_units))
@@ -94,7 +95,7 @@
         if bucket.has_call_in_flight or now < self.contention.next_call_at:
             return None
         # Only limiters that share a bucket on the counter have to agree on the phase of its windows.
-        window, began_at = shared_counter.window_at(bucket.tenant if bucket.is_shared else "", now)
+        window, began_at = shared_counter.window_at(bucket.tenant if bucket.is_kept_on_counter else "", now)
         bucket.begin_window(window, began_at)
         bucket.call_amount = bucket.unreported + units
         bucket.requested = units
@@ -160,11 +161,11 @@
         # Taken from a bucket that is full again instead, a tenant within its quota would be rejected.
         self_credited = max(0.0, min(bucket.self_credited, bucket.call_amount - bucket.requested))
         bucket.self_credited = 0.0
-        balance = bucket.balance_at_answer(now, used_by_others, self_credited)
+        balance = bucket.leased_balance_at_answer(now, used_by_others, self_credited)
         taken = bucket.call_amount - self_credited
         capacity = bucket.capacity()
-        if bucket.is_shared:
-            balance = shared_counter.balance_at_answer(bucket, now, total)
+        if bucket.is_kept_on_counter:
+            balance = shared_counter.counter_balance_at_answer(bucket, now, total)
             taken = bucket.requested
         bucket.counter_balance = min(capacity, balance) - taken
         bucket.counter_balance_at = now
@@ -186,7 +187,7 @@
         bucket.unreported -= returned
         wait = max(0.0, -bucket.counter_balance - returned - bucket.leased)
         bucket.lease_credited_from = now + 1000 * wait / bucket.plan.rate_per_s
-        if bucket.is_shared:
+        if bucket.is_kept_on_counter:
             bucket.counter_balance += returned
 
     def next_call_due_at(self, tenant: Tenant, now: float, missing_units: float, cycle_ms: float) -> float:
--- a/scalelb/policy/handover.py
+++ b/scalelb/policy/handover.py
@@ -74,9 +74,9 @@
     StoredFigure("gap", lambda limiter: limiter.estimates, "answer_interval_ms", Range(0.0, 1e6)),
     StoredFigure("retries", lambda limiter: limiter.retries.budget, "retries", Range(0.0, 1e3)),
     StoredFigure("work", lambda limiter: limiter.selector.slow_start, "work_units", Range(0.0, 1e12)),
-    StoredFigure("filled", lambda limiter: limiter.selector.slow_start, "capacity_ms", Range(0.0, 1e12)),
+    StoredFigure("filled", lambda limiter: limiter.selector.slow_start, "capacity_time", Range(0.0, 1e12)),
     StoredFigure(
-        "allowed", lambda limiter: limiter.selector.slow_start, "allowed_units", Range(0.0, MAX_UNITS)
+        "allowed", lambda limiter: limiter.selector.slow_start, "saved_units", Range(0.0, MAX_UNITS)
     ),
 )
 ENDPOINT_RANGES = (
@@ -123,7 +123,7 @@
         ],
     }
     limiter.selector.slow_start.work_units = 0.0  # nothing more to endpoints in slow start from here on
-    limiter.selector.slow_start.allowed_units = 0.0
+    limiter.selector.slow_start.saved_units = 0.0
     records.unknown_start_empty_until = inf  # and no balance to a tenant that comes to this incarnation
     return handover
 
@@ -151,7 +151,7 @@
     bucket on the counter asks the counter for that."""
     bucket = tenant.bucket
     tenant.credit(now, limiter.leases.refills_itself())
-    needed = 0.0 if bucket.is_shared else tenant.queue.units
+    needed = 0.0 if bucket.is_kept_on_counter else tenant.queue.units
     kept = min(bucket.balance, needed)
     reported = 0.0
     if bucket.has_call_in_flight and not bucket.is_reading_previous_window:
@@ -164,7 +164,7 @@
     bucket.leased = needed - kept
     bucket.lease_credited_from = now
     bucket.unreported = reported
-    if not bucket.is_shared:
+    if not bucket.is_kept_on_counter:
         # While the counter is unavailable both incarnations would else refill the bucket.
         bucket.plan = replace(bucket.plan, burst=0.0)
     in_flight = tenant.attempts_in_flight + len(tenant.queue.requests)
--- a/scalelb/policy/limiter.py
+++ b/scalelb/policy/limiter.py
@@ -157,7 +157,7 @@
         if self.shedder.sheds(precedence) or now > latest_send_at:
             self._finish(request)
             return
-        is_sampled = self.quota.is_sampled_for_counter(request, now, latest_send_at)
+        is_sampled = self.quota.sample_for_counter(request, now, latest_send_at)
         if self.quota.is_rejected_unsampled(request, is_sampled):
             self._finish(request)
             return
@@ -324,7 +324,7 @@
         if next_call is not None:
             self.outbox.add(next_call)
             return
-        if tenant.bucket.is_shared:
+        if tenant.bucket.is_kept_on_counter:
             self._send_covered(tenant, now)
             self._reject_overdue(tenant, now)
             self._renew_lease(tenant, now, has_demand=False)
--- a/scalelb/policy/queue_times.py
+++ b/scalelb/policy/queue_times.py
@@ -43,7 +43,7 @@
         with what is queued ahead of them.  Retries are never among them."""
         bucket = tenant.bucket
         units_ahead = 0.0
-        if not bucket.is_shared:
+        if not bucket.is_kept_on_counter:
             available = bucket.available_here(now, self.leases.is_counter_available())
             units_ahead = -bucket.balance - max(bucket.leased, available)
         attempts_ahead = tenant.attempts_in_flight
@@ -67,13 +67,18 @@
         return not self.quota.is_charged_elsewhere(request, now)
 
     def _units_in_time(self, request: Request, now: float) -> float:
-        """Return the units that may be used ahead of a request, so that it can still be sent in time."""
+        """Return the units that may be used ahead of a request, so that it can still be sent in time.
+
+        Of a bucket that is leased from: what its whole rate brings in the longest wait, also while the
+        counter is unavailable. Of one kept on the counter: what its last answer leaves, or this limiter's
+        share of the rate once the counter has been unavailable for long.
+        """
         bucket = request.tenant.bucket
-        if not bucket.is_shared:
+        if not bucket.is_kept_on_counter:
             max_wait_ms = MAX_QUEUE_WAIT_RATIO * request.request_class.latency_objective_ms
             return max(bucket.plan.rate_per_s * max_wait_ms / 1000, bucket.mean_units)
         latest_at = self.latest_send_at(request)
-        if self.leases.contention.is_unavailable:
+        if self.leases.contention.is_backoff_at_max:
             return bucket.obtainable_without_counter(now, latest_at) + UNITS_TOLERANCE
         return bucket.obtainable_until(latest_at) - request.units + UNITS_TOLERANCE
 
--- a/scalelb/policy/retry.py
+++ b/scalelb/policy/retry.py
@@ -41,7 +41,8 @@
         return timeout_ms
 
     def may_retry(self, request: Request, outcome: Outcome, admission_probability: float) -> bool:
-        """Whether attempts and budget allow another attempt; the time that is left is checked by the caller.
+        """Whether attempts, budget and load allow another attempt; idempotency and the time that is left are
+        checked by the caller (`QueueTimes.latest_send_at`, `allowed_groups`).
 
         A timeout under overload is retried with the admission probability only: the endpoints are busy with
         the first attempt still. An attempt that never reached an endpoint costs no budget.
--- a/scalelb/policy/settings.py
+++ b/scalelb/policy/settings.py
@@ -96,7 +96,7 @@
     max_units: float  # of one request
     settles_true_units: bool = False  # units are an estimate; the first good answer tells the true ones
     has_counter: bool = False
-    counter_timeout_ms: float = 0.0
+    counter_late_after_ms: float = 0.0  # an answer of the counter that takes longer is late
     cancels_attempts: bool = False
     has_health_checks: bool = False
     sends_retry_after: bool = False
@@ -109,10 +109,10 @@
 
     @property
     def counter_wait_ms(self) -> float:
-        """How long an answer of the counter is waited for; one that takes longer than `counter_timeout_ms`
+        """How long an answer of the counter is waited for; one that takes longer than `counter_late_after_ms`
         is late, which tells of contention, and still counts."""
         shortest_objective_ms = min(kind.latency_objective_ms for kind in self.request_classes)
-        return max(self.counter_timeout_ms, COUNTER_WAIT_RATIO * shortest_objective_ms)
+        return max(self.counter_late_after_ms, COUNTER_WAIT_RATIO * shortest_objective_ms)
 
     def class_precedences(self) -> tuple[float, ...]:
         """The precedence of each class where units or endpoints are short: its weight, or 1 for all.
--- a/scalelb/policy/shared_counter.py
+++ b/scalelb/policy/shared_counter.py
@@ -19,8 +19,8 @@
 WINDOW_MS = 30_000.0  # of one key
 KEY_RETENTION_MS = 60_000.0  # how long the counter remembers a key
 OVERFLOW_RATIO = 1.0  # of the burst: an overflow is taken off once it is so much
-MAX_RESERVE_UNITS = 0.5  # units never granted: they cover what is sent just before the rate has covered it
-MAX_RESERVE_RATIO = 0.25  # of the burst
+MAX_UNGRANTED_UNITS = 0.5  # units never granted: they cover what is sent just before the rate has covered it
+MAX_UNGRANTED_RATIO = 0.25  # of the burst
 
 
 def initial_mean_units(settings: Settings) -> float:
@@ -63,7 +63,7 @@
 
 def grantable_burst(plan: Plan) -> float:
     """Return the units that a full bucket grants."""
-    return plan.burst - min(MAX_RESERVE_UNITS, plan.burst * MAX_RESERVE_RATIO)
+    return plan.burst - min(MAX_UNGRANTED_UNITS, plan.burst * MAX_UNGRANTED_RATIO)
 
 
 def units_left(plan: Plan, window_began_at: float, now: float, total: float) -> float:
@@ -77,7 +77,7 @@
     """Whether nobody has counted in this window before, so that what the one before left has to be read."""
     is_unread = bucket.is_window_unread
     bucket.is_window_unread = False
-    if is_unread and bucket.is_shared and total <= bucket.call_amount + UNITS_TOLERANCE:
+    if is_unread and bucket.is_kept_on_counter and total <= bucket.call_amount + UNITS_TOLERANCE:
         bucket.is_reading_previous_window = True
         bucket.counter_total = total
         return True
@@ -98,7 +98,7 @@
     return bucket.counter_total + missing
 
 
-def balance_at_answer(bucket: TokenBucket, now: float, total: float) -> float:
+def counter_balance_at_answer(bucket: TokenBucket, now: float, total: float) -> float:
     """Return the units in the bucket before what the call asked for; take off what has overflowed.
 
     What was returned, taken off or granted unasked stays added; only what is asked for is new.
--- a/scalelb/policy/slow_start.py
+++ b/scalelb/policy/slow_start.py
@@ -41,9 +41,9 @@
         self.warm_capacity = 0.0  # relative capacity of all warm endpoints
         self.has_warm_endpoints = False
         self.work_units = 0.0  # that warm endpoints did for this limiter lately
-        self.capacity_ms = 0.0  # their relative capacity times the time that this took
+        self.capacity_time = 0.0  # their relative capacity times the time (ms) that this took
         self.measured_at = 0.0
-        self.allowed_units = 0.0
+        self.saved_units = 0.0  # that were earned and not spent
         self.allowed_at = 0.0
         self._cumulative_capacity: list[float] = []  # of those that are warming up
 
@@ -52,12 +52,12 @@
         fade = exp((self.measured_at - now) / WORK_MEMORY_MS) if self.has_warm_endpoints else 1.0
         self.measured_at = now
         self.work_units = self.work_units * fade + units
-        self.capacity_ms = self.capacity_ms * fade + (1 - fade) * WORK_MEMORY_MS * self.warm_capacity
+        self.capacity_time = self.capacity_time * fade + (1 - fade) * WORK_MEMORY_MS * self.warm_capacity
 
     def on_endpoints(self, now: float, endpoints: list[TrackedEndpoint], warm_capacity: float) -> None:
         """Take over the serving endpoints, with the relative capacity of all warm ones."""
         if not self.warming_up:
-            self.allowed_units = 0.0
+            self.saved_units = 0.0
             self.allowed_at = now
         self.warming_up = [endpoint for endpoint in endpoints if not endpoint.is_warm()]
         self.has_warm_endpoints = len(self.warming_up) < len(endpoints)
@@ -68,27 +68,27 @@
     def assume_work(self, mean_capacity: float, mean_units: float, shortest_objective_ms: float) -> None:
         """Before anything was measured, assume the least: an endpoint does one mean request within the
         latency objective, for all limiters together."""
-        if self.capacity_ms:
+        if self.capacity_time:
             return
-        self.capacity_ms = WORK_MEMORY_MS * mean_capacity
+        self.capacity_time = WORK_MEMORY_MS * mean_capacity
         self.work_units = WORK_MEMORY_MS * mean_units / shortest_objective_ms / self.settings.limiter_count
 
     def draw(self, now: float, units: float) -> list[TrackedEndpoint]:
         """Return the one endpoint in slow start that this attempt may go to, if any.
 
-        No attempt goes to such an endpoint without this. The limiter's part is often less than one request:
-        each attempt draws, with the chance of what came due since the last draw over its units, and spends
-        it either way. Queued requests and retries get no more. With what an idle limiter saves, the budget is
+        No attempt goes to such an endpoint without this. Each attempt, first or retry, draws once, as the
+        limiter's part is often less than one request: it may go with a probability of the allowed units over
+        its own, and these are spent even if it may not. With what an idle limiter saves, the budget is
         `BUDGET_RATIO` x (1 + `SAVED_WINDOW_RATIO`) at most, on average; a restarted limiter has saved none.
         """
         if not self.warming_up:
             return []
         self.record_work(now)
-        measured_rate = BUDGET_RATIO * self.settings.overload_multiple * self.work_units / self.capacity_ms
+        measured_rate = BUDGET_RATIO * self.settings.overload_multiple * self.work_units / self.capacity_time
         rate = measured_rate * self._cumulative_capacity[-1]
-        earned = self.allowed_units + rate * (now - self.allowed_at)
+        earned = self.saved_units + rate * (now - self.allowed_at)
         allowed = min(earned, rate * SAVED_WINDOW_RATIO * self.settings.overload_window_ms)
-        self.allowed_units = max(0.0, allowed - units)
+        self.saved_units = max(0.0, allowed - units)
         self.allowed_at = now
         if self.random.random() * units >= allowed:
             return []
--- a/scalelb/policy/subsetting.py
+++ b/scalelb/policy/subsetting.py
@@ -19,20 +19,23 @@
 T = TypeVar("T")
 
 
-def subset_size(gap_ms: float, count: int) -> int:
-    """Return how many of `count` backends a limiter draws among; `gap_ms`: mean time between its answers."""
-    if gap_ms <= 0:
+def subset_size(answer_interval_ms: float, count: int) -> int:
+    """Return how many of `count` backends a limiter draws among.
+
+    `answer_interval_ms`: mean time between its answers.
+    """
+    if answer_interval_ms <= 0:
         return count
-    return min(count, max(MIN_SUBSET_SIZE, int(BACKEND_ANSWER_INTERVAL_MS / gap_ms)))
+    return min(count, max(MIN_SUBSET_SIZE, int(BACKEND_ANSWER_INTERVAL_MS / answer_interval_ms)))
 
 
 def subset(
-    backends: Sequence[T], name: Callable[[T], str], index: int, limiters: int, gap_ms: float
+    backends: Sequence[T], name: Callable[[T], str], index: int, limiters: int, answer_interval_ms: float
 ) -> list[list[T]]:
     """Return what limiter `index` of `limiters` draws among, in order of preference: its subset of the ring,
     then all backends; all backends alone where the subset would hold as many."""
     count = len(backends)
-    size = subset_size(gap_ms, count)
+    size = subset_size(answer_interval_ms, count)
     if size >= count:
         return [list(backends)]
     ring = sorted(backends, key=lambda backend: crc32(name(backend).encode()))
--- a/scalelb/policy/token_bucket.py
+++ b/scalelb/policy/token_bucket.py
@@ -12,8 +12,10 @@
 from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.policy.settings import Plan
 
-RESERVE_REQUESTS = 1.0  # mean requests of each limiter that are never leased: they cover its overdraft
-MAX_RESERVE_RATIO = 0.5  # of the burst
+OVERDRAFT_RESERVE_REQUESTS = (
+    1.0  # mean requests of each limiter that are never leased: they cover its overdraft
+)
+MAX_OVERDRAFT_RESERVE_RATIO = 0.5  # of the burst
 UNITS_TOLERANCE = 1e-6  # rounding errors of sums of units
 
 
@@ -27,7 +29,7 @@
     mean_units: float  # of a request of this tenant, running average of the true cost
     created_at: float
     ceiling_balance: float  # this limiter's share of the ceiling
-    is_shared: bool = False  # the balance is kept on the counter alone (`shared_counter`)
+    is_kept_on_counter: bool = False  # nothing is held here: see `shared_counter`
 
     # What this limiter may grant.
     balance: float = 0.0
@@ -70,10 +72,10 @@
         """Return what of the burst may be leased; the rest covers the overdrafts of all limiters.  There are
         none where each request waits for the counter's answer."""
         burst = self.plan.burst
-        if self.is_shared:
+        if self.is_kept_on_counter:
             return burst
-        reserve = RESERVE_REQUESTS * (self.sharing_limiters + 1) * self.mean_units
-        return burst - min(reserve, MAX_RESERVE_RATIO * burst)
+        reserve = OVERDRAFT_RESERVE_REQUESTS * (self.sharing_limiters + 1) * self.mean_units
+        return burst - min(reserve, MAX_OVERDRAFT_RESERVE_RATIO * burst)
 
     # Refill
 
@@ -123,7 +125,7 @@
         """Return this limiter's part of it; 0 while the counter is unavailable."""
         if not is_counter_available:
             return 0.0
-        return self.available_to_all(now) / (1 if self.is_shared else self.sharing_limiters)
+        return self.available_to_all(now) / (1 if self.is_kept_on_counter else self.sharing_limiters)
 
     def obtainable_until(self, at: float) -> float:
         """Return the most units that a shared bucket can have for this limiter until `at`."""
@@ -133,8 +135,9 @@
         """Return the same while the counter is unavailable: this limiter's share of the rate is all."""
         return self.on_hand() + self.plan.rate_per_s * (at - now) / 1000 / self.sharing_limiters
 
-    def balance_at_answer(self, at: float, used_by_others: float, self_credited: float) -> float:
-        """Return the units in the bucket when the counter answers (ms), before what this call asks for.
+    def leased_balance_at_answer(self, at: float, used_by_others: float, self_credited: float) -> float:
+        """Return the units in a bucket that limiters lease from, when the counter answers (ms) and before
+        what this call asks for.
 
         `used_by_others`: units that the other limiters have taken since the last answer, at times it does not
         tell. `self_credited`: units credited here while the counter was unavailable; each of the others has
@@ -178,7 +181,7 @@
         capacity = self.capacity()
         left = min(capacity, self.counter_balance_then(now)) - max(0.0, self.unreported)
         on_hand_everywhere = self.on_hand() * self.sharing_limiters
-        known = left if self.is_shared and is_counter_available else min(left, on_hand_everywhere)
+        known = left if self.is_kept_on_counter and is_counter_available else min(left, on_hand_everywhere)
         missing = capacity - known
         full_at = now + 1000 * max(0.0, missing) / plan.rate_per_s if plan.rate_per_s else now
         if plan.ceiling_rate_per_s:
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -80,7 +80,7 @@
         if config.peers is not None:
             from scalelb.program.peer_connections import PeerConnections
 
-            self.links = PeerConnections(self, config.peers)
+            self.links = PeerConnections(reactor, self.loop, config.name, config.peers, self.log)
         self.waiting = 0.0  # since when the predecessor is waited for (s of the reactor)
         self.admin: AdminDoor | None = None
         if fronts.external_authorization or fronts.grpc_health:
--- a/scalelb/program/account_replication.py
+++ b/scalelb/program/account_replication.py
@@ -4,7 +4,7 @@
     u:TENANT   [balance, unreported, store, total, window, at, full_at]
 
 It is read by the next incarnation of the same limiter alone: what was granted stays granted, and the balance
-is never more than that incarnation's own share. Times are Unix milliseconds.
+is never more than a burst. Times are Unix milliseconds.
 """
 
 from __future__ import annotations
--- a/scalelb/program/config.py
+++ b/scalelb/program/config.py
@@ -158,7 +158,7 @@
         max_units=extra.number("most-units"),
         settles_true_units=extra.flag("cost-after", default=False),
         has_counter=extra.flag("shared-counter"),
-        counter_timeout_ms=extra.number("count-limit-ms"),
+        counter_late_after_ms=extra.number("count-limit-ms"),
         cancels_attempts=limits.flag("cancel"),
         has_health_checks=limits.flag("probing"),
         sends_retry_after=limits.flag("retry-after"),
--- a/scalelb/program/peer_connections.py
+++ b/scalelb/program/peer_connections.py
@@ -3,18 +3,17 @@
 from __future__ import annotations
 
 import time
+from collections.abc import Callable
 from random import SystemRandom
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from scalelb.program.config import PeerSettings
+from scalelb.program.loop import Loop
 from scalelb.program.peering import OverrideScope, Peering
 from scalelb.replication import MalformedFrameError, ReplicationSettings, Replicator
 from scalelb.transport.peerlink import PeerLinks
 from scalelb.transport.stream import host_port
 
-if TYPE_CHECKING:
-    from scalelb.program.__main__ import Program
-
 BACKLOG = 64
 TICKS_PER_SWEEP = 10  # between two looks for silent links
 
@@ -22,30 +21,31 @@
 class PeerConnections:
     """One limiter's links, replicator and peering."""
 
-    def __init__(self, program: Program, settings: PeerSettings) -> None:
-        self.program = program
+    def __init__(
+        self, reactor: Any, loop: Loop, name: str, settings: PeerSettings, log: Callable[..., None]
+    ) -> None:
+        """`name`: of this limiter, one of the members."""
+        self.reactor = reactor
         self.settings = settings
-        self.reactor = program.reactor
-        config = program.config
+        self.log = log
         self.random = SystemRandom()  # incarnations' nonces must differ, whatever the seeds are
         replication = ReplicationSettings(
-            name=config.name,
+            name=name,
             members=tuple(settings.members),
             tick_ms=settings.tick_ms,
             heartbeat_ms=settings.beat_ms,
             suspect_after_ms=settings.suspect_ms,
             settle_alone_after_ms=settings.alone_ms,
         )
-        self.replicator = Replicator(replication, self.random.getrandbits(31), self.now(), program.log)
-        loop = program.loop
+        self.replicator = Replicator(replication, self.random.getrandbits(31), self.now(), log)
         scope = OverrideScope.FLEET if settings.fleet_bans else OverrideScope.LIMITER
         self.peering = Peering(
-            self.replicator, loop.core, loop.overrides, loop.clock, loop.overrides_changed, program.log,
+            self.replicator, loop.core, loop.overrides, loop.clock, loop.overrides_changed, log,
             scope, self.flush,
         )  # fmt: skip
-        others = {name: at for name, at in settings.members.items() if name != config.name}
+        others = {member: at for member, at in settings.members.items() if member != name}
         self.links = PeerLinks(
-            self.reactor, config.name, others, program.log, self.joined, self.left, self.message
+            self.reactor, name, others, log, self.joined, self.left, self.message
         )  # fmt: skip
         self.ticks = 0
         self.digest = ""  # at the newest look
@@ -89,7 +89,7 @@
         digest = self.peering.digest()
         if digest == self.digest and digest != self.logged_digest:
             self.logged_digest = digest
-            self.program.log("quiet", digest=digest)
+            self.log("quiet", digest=digest)
         self.digest = digest
 
     def joined(self, name: str) -> None:
--- a/scalelb/replication/gossip.py
+++ b/scalelb/replication/gossip.py
@@ -55,7 +55,8 @@
     last_heard_at: float
     last_digest_at: float = -inf  # when it was last sent a digest
     announced: dict[Incarnation, LogState] = field(default_factory=dict)  # what it was told is held here
-    known_states: dict[Incarnation, LogState] = field(default_factory=dict)  # what it holds
+    # What it holds once all that was sent to it has arrived.
+    assumed_states: dict[Incarnation, LogState] = field(default_factory=dict)
     is_settled: bool = False  # the peer is
     initial_versions: dict[Incarnation, int] | None = None  # what it held by its first digest
     has_more_initial: bool = False  # its first digest is not complete yet
@@ -69,9 +70,9 @@
 
     def take_digest(self, digest: Digest, max_logs: int) -> None:
         """Remember what the peer holds, of at most `max_logs` logs."""
-        self.known_states.update(digest.states)
-        if len(self.known_states) > max_logs:
-            self.known_states.clear()  # bounds the memory: the peer will tell again
+        self.assumed_states.update(digest.states)
+        if len(self.assumed_states) > max_logs:
+            self.assumed_states.clear()  # bounds the memory: the peer will tell again
         self.is_settled = digest.is_settled
         if not self.has_complete_digest:
             versions = {incarnation: state.version for incarnation, state in digest.states}
@@ -150,7 +151,7 @@
         left_bytes = DELTA_BUDGET_BYTES
         deltas = []
         for incarnation, log in (logs or self.replica.logs).items():
-            known = link.known_states.get(incarnation, EMPTY_LOG_STATE)
+            known = link.assumed_states.get(incarnation, EMPTY_LOG_STATE)
             if known.version >= log.version:
                 continue
             delta, used_bytes = _delta_of(incarnation, log, known, left_bytes)
@@ -158,7 +159,7 @@
             if delta.entries or delta.up_to > delta.after:
                 deltas.append(delta)
                 sent_floor = log.floor if delta.is_full_copy else known.floor
-                link.known_states[incarnation] = LogState(delta.up_to, max(known.floor, sent_floor))
+                link.assumed_states[incarnation] = LogState(delta.up_to, max(known.floor, sent_floor))
             if left_bytes <= 0:
                 break
         return [OutgoingFrame(link.name, encode_delta(Delta(deltas)))] if deltas else []
--- a/scalelb/replication/replicator.py
+++ b/scalelb/replication/replicator.py
@@ -210,9 +210,9 @@
         if merged is None:  # a gap: the peer is told what is held here, and sends again
             link.announced.pop(incarnation, None)
             return
-        known = link.known_states.get(incarnation, EMPTY_LOG_STATE)
+        known = link.assumed_states.get(incarnation, EMPTY_LOG_STATE)
         # It need not be sent back, nor told of.
-        link.known_states[incarnation] = LogState(
+        link.assumed_states[incarnation] = LogState(
             max(known.version, delta.up_to), max(known.floor, delta.floor)
         )
         if log.version == delta.up_to:
--- a/scalelb/transport/authz/front.py
+++ b/scalelb/transport/authz/front.py
@@ -13,7 +13,7 @@
 from scalelb.core.exceptions import OutOfRangeError
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.lifecycle import Core
-from scalelb.core.ports import Verdict
+from scalelb.core.request_table import Verdict
 from scalelb.protocol import MalformedError, headers
 from scalelb.protocol.agentcheck import Status
 from scalelb.transport.authz import external_auth_pb2 as pb
--- a/scalelb/transport/session.py
+++ b/scalelb/transport/session.py
@@ -13,8 +13,7 @@
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.lifecycle import Core
 from scalelb.core.metrics import ClassMetrics
-from scalelb.core.ports import Verdict
-from scalelb.core.request_table import OpenRequest
+from scalelb.core.request_table import OpenRequest, Verdict
 from scalelb.policy.settings import DeduplicationScope, Idempotency
 from scalelb.protocol import MalformedError, resp
 from scalelb.transport.stream import Log, Stream
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -39,7 +39,7 @@
     overload_window_ms=3000.0,
     max_units=4.0,
     has_counter=True,
-    counter_timeout_ms=50.0,
+    counter_late_after_ms=50.0,
     cancels_attempts=True,
 )
 
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -87,7 +87,7 @@
         self.abandoned += 1
 
     def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
-        total, timeout = self.counter.add(counter_key, amount), self.core.settings.counter_timeout_ms
+        total, timeout = self.counter.add(counter_key, amount), self.core.settings.counter_late_after_ms
         outcome = Outcome.TIMEOUT if total is None else Outcome.OK
         after = timeout if total is None else 1.0
         told = total or 0.0
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -460,7 +460,7 @@
     def read_have(self, peer: str) -> tuple[bool, dict[tuple[str, int, int], tuple[int, int]]]:
         """Whether a peer has settled, and what it holds of each life."""
         link = self.replicator.links[peer]
-        return link.is_settled, {(*life,): state for life, state in link.known_states.items()}
+        return link.is_settled, {(*life,): state for life, state in link.assumed_states.items()}
 
     def read_overrides(self) -> dict[str, Override]:
         return self.overrides.by_endpoint
--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -15,7 +15,7 @@
 from test_middleware import HEADERS
 
 from scalelb.admission_queue import AdmissionQueueSettings
-from scalelb.core.ports import Verdict
+from scalelb.core.request_table import Verdict
 from scalelb.middleware import Host, LimiterMiddleware
 from scalelb.policy.housekeeping import VISITED_TENANTS
 from scalelb.policy.tenant_table import MAX_TENANTS
--- a/tests/test_class_order.py
+++ b/tests/test_class_order.py
@@ -143,5 +143,5 @@
     # Guards quotas that many limiters share: with fewest units first 85 of 96 units were used, not 96.
     drive = Driver(SITE)
     drive.ask(units=1.0, expires_in_ms=1500.0)
-    drive.limiter.tenants.tenants["ada"].bucket.is_shared = True
+    drive.limiter.tenants.tenants["ada"].bucket.is_kept_on_counter = True
     assert queue_after(drive, (3.0, 1), (1.0, 0), (2.0, 1)) == [3.0, 1.0, 2.0]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,7 +10,7 @@
 
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.limits import CoreLimits
-from scalelb.core.ports import Verdict
+from scalelb.core.request_table import Verdict
 from scalelb.core.timers import ATTEMPT_TIMEOUT
 from scalelb.policy.actions import Action
 from scalelb.policy.events import AttemptEnded, Event, Outcome
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -67,7 +67,7 @@
     """The counter has given no answer for seconds, and every door knows."""
     fleet.silent = True
     for limiter in fleet.limiters:
-        while not limiter.contention.is_unavailable:
+        while not limiter.contention.is_backoff_at_max:
             limiter.contention.on_failure(fleet.now)
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -34,8 +34,8 @@
 
 PLAN = Plan(rate_per_s=4.0, burst=16.0)
 SITE = replace(
-    SETTINGS, plans=(PLAN,), max_units=6.0, has_counter=True, counter_timeout_ms=50.0, sends_retry_after=True,
-    max_retry_after_ms=1000.0,
+    SETTINGS, plans=(PLAN,), max_units=6.0, has_counter=True, counter_late_after_ms=50.0,
+    sends_retry_after=True, max_retry_after_ms=1000.0,
 )  # fmt: skip
 
 writes = st.lists(st.tuples(st.sampled_from("abcde"), st.one_of(st.none(), st.integers(0, 9))), max_size=30)
@@ -351,7 +351,7 @@
         replicator.receive("n1", {"k": "news", "c": made}, cluster.now)
         replicator.receive("n1", {**GOOD, "v": [["n1", number, 7, 1, 0]]}, cluster.now)
     assert len(replicator.replica.logs) <= replicator.replica.max_logs
-    assert len(replicator.links["n1"].known_states) <= replicator.replica.max_logs + 1
+    assert len(replicator.links["n1"].assumed_states) <= replicator.replica.max_logs + 1
 
 
 # Limiters
@@ -551,7 +551,7 @@
     assert all(
         c.bucket.plan.burst == 0.0
         for c in old.core.limiter.tenants.tenants.values()
-        if not c.bucket.is_shared
+        if not c.bucket.is_kept_on_counter
     )
     assert old.core.limiter.tenants.records.unknown_start_empty_until == float("inf")
 
