--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -93,3 +93,10 @@
     told = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"]
     folders = {".".join(path.parent.relative_to(ROOT).parts) for path in SOURCES}
     assert sorted(told) == sorted(folders)
+
+
+def test_deploy_file_names_every_decision_module() -> None:
+    # The bench warns of a folder there and reads nothing of it.
+    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    modules = sorted(str(path.relative_to(ROOT)) for path in (ROOT / "scalelb" / "policy").glob("*.py"))
+    assert named == modules
