--- a/scalelb/wirehost.py
+++ b/scalelb/wirehost.py
@@ -1,7 +1,7 @@
 """The simulator's wire: JSON lines to events, actions to JSON lines.  It decides nothing.
 
 Each instance has a `Limiter` of its own and shares nothing with the others.  Malformed input ends the program
-with a plain message; a fault inside a gateway is declared with `BailOut`.
+with a plain message; a fault inside a limiter is declared with `BailOut`.
 """
 
 from __future__ import annotations
@@ -66,11 +66,11 @@
     """Input that does not follow the wire."""
 
 
-class GatewayError(Exception):
-    """A fault inside a gateway."""
+class LimiterFaultError(Exception):
+    """An exception inside a limiter."""
 
 
-def read_server(item: Fields) -> Endpoint:
+def read_endpoint(item: Fields) -> Endpoint:
     """Translate one entry of a server list."""
     return Endpoint(
         name=item["server"],
@@ -82,59 +82,67 @@
     )
 
 
-def read_event(name: str, f: Fields, rosters: dict[int, tuple[Endpoint, ...]]) -> Event:
+def read_event(name: str, fields: Fields, endpoint_lists: dict[int, tuple[Endpoint, ...]]) -> Event:
     """Translate one event of a running instance."""
     match name:
         case "Accept":
             return RequestArrived(
-                request_id=f["tid"],
-                tenant=f.get("customer", ""),
-                plan_index=f.get("tariff", 0),
-                class_index=f.get("tier-class", 0),
-                expires_in_ms=f["expires-in-ms"],
-                units=f.get("weight", 0),
-                sharing_limiters=f.get("doors", 1),
-                first_limiter=f.get("base", 0),
-                is_retry=f.get("retry", False),
+                request_id=fields["tid"],
+                tenant=fields.get("customer", ""),
+                plan_index=fields.get("tariff", 0),
+                class_index=fields.get("tier-class", 0),
+                expires_in_ms=fields["expires-in-ms"],
+                units=fields.get("weight", 0),
+                sharing_limiters=fields.get("doors", 1),
+                first_limiter=fields.get("base", 0),
+                is_retry=fields.get("retry", False),
             )
         case "Settled":
             return AttemptEnded(
-                request_id=f["tid"],
-                attempt_number=f.get("go", 0),
-                endpoint=f["server"],
-                outcome=OUTCOMES[f["reason"]],
-                elapsed_ms=f.get("cost-time-ms", 0.0),
-                request_finished=f.get("complete", False),
-                true_units=f.get("final-units", 0),
-                load_report=f.get("telemetry", {}),
-                quota_used_percent=f["usage"] - 1.0 if f.get("usage") else None,  # 0 or absent: not told
+                request_id=fields["tid"],
+                attempt_number=fields.get("go", 0),
+                endpoint=fields["server"],
+                outcome=OUTCOMES[fields["reason"]],
+                elapsed_ms=fields.get("cost-time-ms", 0.0),
+                request_finished=fields.get("complete", False),
+                true_units=fields.get("final-units", 0),
+                load_report=fields.get("telemetry", {}),
+                quota_used_percent=fields["usage"] - 1.0
+                if fields.get("usage")
+                else None,  # 0 or absent: not told
             )
         case "Fired":
-            return TimerFired(tag=f.get("tag", 0))
+            return TimerFired(tag=fields.get("tag", 0))
         case "Total":
             return CounterReplied(
-                counter_key=f.get("entry-name", 0),
-                outcome=OUTCOMES[f["reason"]],
-                total=f.get("result-value", 0.0),
-                elapsed_ms=f.get("cost-time-ms", 0.0),
+                counter_key=fields.get("entry-name", 0),
+                outcome=OUTCOMES[fields["reason"]],
+                total=fields.get("result-value", 0.0),
+                elapsed_ms=fields.get("cost-time-ms", 0.0),
             )
         case "CancelledByClient":
-            return RequestCancelled(request_id=f["tid"])
+            return RequestCancelled(request_id=fields["tid"])
         case "AckFirst":
-            return ResponseStarted(request_id=f["tid"], attempt_number=f.get("go", 0), endpoint=f["server"])
+            return ResponseStarted(
+                request_id=fields["tid"], attempt_number=fields.get("go", 0), endpoint=fields["server"]
+            )
         case "Discovery":
-            if f["mode"] == "lost":
+            if fields["mode"] == "lost":
                 return EndpointListLost()
-            return EndpointsListed(endpoints=rosters[f.get("roster-id", 0)], is_complete=MODES[f["mode"]])
+            return EndpointsListed(
+                endpoints=endpoint_lists[fields.get("roster-id", 0)], is_complete=MODES[fields["mode"]]
+            )
         case "Checked":
             return HealthCheckEnded(
-                endpoint=f["server"],
-                outcome=OUTCOMES[f["reason"]],
-                elapsed_ms=f.get("cost-time-ms", 0.0),
-                load_report=f.get("telemetry", {}),
+                endpoint=fields["server"],
+                outcome=OUTCOMES[fields["reason"]],
+                elapsed_ms=fields.get("cost-time-ms", 0.0),
+                load_report=fields.get("telemetry", {}),
             )
         case "Memo":
-            return PeerMessageReceived(sender=f.get("origin-peer", 0), content=f.get("content", "").encode())
+            return PeerMessageReceived(
+                sender=fields.get("origin-peer", 0), content=fields.get("content", "").encode()
+            )
     raise WireError(f"unknown event {name!r}")
 
 
@@ -150,7 +158,7 @@
             if action.retry_after_ms:
                 fields["not-before-for-ms"] = action.retry_after_ms
         case AdmitRequest():
-            raise GatewayError("nothing asks for an admission here")
+            raise LimiterFaultError("nothing asks for an admission here")
         case FailRequest():
             name, fields = "Fail", {"tid": action.request_id}
         case CancelAttempt():
@@ -175,10 +183,10 @@
     """Hosts the instances of one process and speaks the wire for them."""
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Limiter] = {}
-        self.rosters: dict[int, tuple[Endpoint, ...]] = {}
-        self.frame: int | None = None
-        self.now = 0.0
+        self.limiters: dict[int, Limiter] = {}
+        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the number that events refer to
+        self.batch: int | None = None  # its number; None between two batches
+        self.now = 0.0  # ms
         self.replies: list[Fields] = []
 
     def take(self, line: str) -> list[Fields]:
@@ -203,17 +211,21 @@
 
     def _message(self, name: str, fields: Fields) -> list[Fields]:
         if name == "Mark":
-            if self.frame is not None:
+            if self.batch is not None:
                 raise WireError("Mark inside a batch")
-            self.frame, self.now, self.replies = int(fields["frame"]), float(fields["ts-ms"]), []
-        elif self.frame is None:
+            self.batch = int(fields["frame"])
+            self.now = float(fields["ts-ms"])
+            self.replies = []
+        elif self.batch is None:
             raise WireError(f"{name} outside a batch")
         elif name == "EofBatch":
-            self.replies.append({"Ready": {"frame": self.frame}})
-            self.frame = None
+            self.replies.append({"Ready": {"frame": self.batch}})
+            self.batch = None
             return self.replies
         elif name == "Ledger":
-            self.rosters[fields.get("roster-id", 0)] = tuple(read_server(item) for item in fields["items"])
+            self.endpoint_lists[fields.get("roster-id", 0)] = tuple(
+                read_endpoint(item) for item in fields["items"]
+            )
         else:
             self._event(name, fields)
         return []
@@ -221,21 +233,21 @@
     def _event(self, name: str, fields: Fields) -> None:
         instance = fields["i"]
         if name == "PowerOn":
-            self.gateways[instance] = Limiter(read_settings(fields["options"]), fields["seed"])
+            self.limiters[instance] = Limiter(read_settings(fields["options"]), fields["seed"])
             self._decide(instance, Started())
         elif name == "Shutdown":
-            self.gateways.pop(instance, None)
-        elif instance not in self.gateways:
+            self.limiters.pop(instance, None)
+        elif instance not in self.limiters:
             raise WireError(f"{name} for instance {instance}, which does not run")
         else:
-            self._decide(instance, read_event(name, fields, self.rosters))
+            self._decide(instance, read_event(name, fields, self.endpoint_lists))
 
     def _decide(self, instance: int, event: Event) -> None:
         try:
-            actions = self.gateways[instance].handle(self.now, event)
+            actions = self.limiters[instance].handle(self.now, event)
         except Exception as error:
             self.replies.append({"BailOut": {"i": instance, "words": f"{type(error).__name__}: {error}"}})
-            raise GatewayError from error
+            raise LimiterFaultError from error
         self.replies.extend(write_action(instance, action) for action in actions)
 
 
@@ -245,17 +257,18 @@
     for line in lines:
         if not line.strip():
             continue
-        broken = False
+        has_failed = False
         try:
             replies = host.take(line)
-        except GatewayError:
-            replies, broken = [*host.replies, {"Ready": {"frame": host.frame}}], True
+        except LimiterFaultError:
+            replies = [*host.replies, {"Ready": {"frame": host.batch}}]
+            has_failed = True
         if replies:
-            output.write("".join(json.dumps(r, separators=(",", ":")) + "\n" for r in replies))
+            output.write("".join(json.dumps(reply, separators=(",", ":")) + "\n" for reply in replies))
             output.flush()
-        if broken:
+        if has_failed:
             raise WireError("a gateway broke; see BailOut")
-    if host.frame is not None:
+    if host.batch is not None:
         raise WireError("input ended inside a batch")
 
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -133,7 +133,7 @@
     assert "Traceback" not in run.stderr
 
 
-def test_a_fault_in_a_gateway_is_declared(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_inside_a_limiter_is_declared(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> None:
         raise RuntimeError("no such thing")
 
