--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -185,7 +185,7 @@
     # The planted break of the two tests above: what the others took is credited out of what ran over.
     monkeypatch.setattr(
         TokenBucket,
-        "balance_at_answer",
+        "leased_balance_at_answer",
         lambda bucket, at, others, blind: bucket.counter_balance_then(at) - others - blind,
     )
     schedule = quiet(read_schedule(FAULTS / "kill.toml"))
