--- a/scalelb/core/lifecycle.py
+++ b/scalelb/core/lifecycle.py
@@ -119,7 +119,7 @@
         else:
             execution = None
             if incoming.idempotency_key and self.replicas is not None:
-                execution = self.replicas.ran(incoming.tenant, incoming.idempotency_key)
+                execution = self.replicas.find_execution(incoming.tenant, incoming.idempotency_key)
             self.inbox.append(incoming.arrival(request.request_id, time_left_ms, admission_only, execution))
         self._wake_soon()
         return request
@@ -370,7 +370,8 @@
         if self.replicas is not None:
             decided = self.limiter.requests.get(request.request_id)
             if decided is not None:
-                self.replicas.sends(decided)  # before it is sent: a process that dies in between sent nothing
+                # Before it is sent: a process that dies in between sent nothing.
+                self.replicas.record_attempt(decided)
         if self.queue_adapter is not None:
             self.queue_adapter.attempt_sent(request)
         self.ports.send_attempt(request, action.endpoint, timeout_ms)
--- a/scalelb/core/ports.py
+++ b/scalelb/core/ports.py
@@ -37,8 +37,8 @@
 class Replicas(Protocol):
     """What other limiters know, where there are links to them (`program/peering.py`)."""
 
-    def ran(self, customer: str, key: str) -> tuple[Endpoint, float] | None:
+    def find_execution(self, tenant: str, key: str) -> tuple[Endpoint, float] | None:
         """Where an attempt with this idempotency key may have been executed, and when it was sent (ms)."""
 
-    def sends(self, request: Request) -> None:
+    def record_attempt(self, request: Request) -> None:
         """An attempt of a request with an idempotency key is about to be sent."""
--- a/scalelb/program/idempotency_records.py
+++ b/scalelb/program/idempotency_records.py
@@ -55,7 +55,7 @@
         self.peer_attempts: dict[str, PeerAttempt] = {}
         core.replicas = self
 
-    def ran(self, tenant: str, key: str) -> tuple[Endpoint, float] | None:
+    def find_execution(self, tenant: str, key: str) -> tuple[Endpoint, float] | None:
         """Where an attempt with this key may have run through another limiter or another incarnation of this
         one, and when it was sent; None if none has."""
         attempt = self.peer_attempts.get(_record_key(tenant, key))
@@ -63,7 +63,7 @@
             return None
         return attempt.endpoint, attempt.sent_at
 
-    def sends(self, request: Request) -> None:
+    def record_attempt(self, request: Request) -> None:
         """Publish an attempt before it is forwarded, if its duplicates are not dropped everywhere."""
         request_class = request.request_class
         now = self.clock()
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -467,7 +467,7 @@
 
     def read_attempt(self, tenant: str, key: str) -> tuple[int, int, float] | None:
         """Zone and cell where a key may have run, and when it was sent there."""
-        ran = self.peering.idempotency.ran(tenant, key)
+        ran = self.peering.idempotency.find_execution(tenant, key)
         return None if ran is None else (ran[0].zone, ran[0].cell, ran[1])
 
     def read_claims(self) -> set[str]:
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -111,7 +111,7 @@
 def test_a_malformed_entry_is_ignored(value: Any) -> None:
     log = WrittenLog()
     log.records.on_entry(INCARNATION, "c k", value)
-    assert log.records.ran("c", "k") is None
+    assert log.records.find_execution("c", "k") is None
 
 
 def test_of_two_entries_the_older_stands_and_it_ends_with_its_window() -> None:
@@ -119,11 +119,11 @@
     log.records.on_entry(INCARNATION, "c k", [2, 0, START_MS - 100, START_MS + 3900])
     log.records.on_entry(FORGER, "c k", [1, 0, START_MS - 50, START_MS + 3950])
     log.records.on_entry(FORGER, "c k", None)
-    found = log.records.ran("c", "k")
+    found = log.records.find_execution("c", "k")
     assert found is not None
     assert (found[0].zone, found[1]) == (2, START_MS - 100)
     log.now += 4000.0
-    assert log.records.ran("c", "k") is None
+    assert log.records.find_execution("c", "k") is None
     log.records.tick(log.now)
     assert not log.records.peer_attempts
 
@@ -145,7 +145,7 @@
             "attempts_sent": 1,
         }
         request: Any = type("R", (), told)()
-        log.records.sends(request)
+        log.records.record_attempt(request)
     assert len(log.records.own_ends_at) == len(log.written) == MAX_OWN_KEYS
     assert "k:c 0" not in log.written
     for number in range(MAX_PEER_KEYS + 100):
