--- a/scalelb/core/__init__.py
+++ b/scalelb/core/__init__.py
@@ -1,1 +1,1 @@
-"""Request lifecycle without wire or sockets: open requests, attempts, timers, operator overrides, metrics."""
+"""Request lifecycle, independent of protocols: open requests, attempts, timers, manual overrides, metrics."""
--- a/scalelb/core/admission.py
+++ b/scalelb/core/admission.py
@@ -1,4 +1,4 @@
-"""Admission for callers that use `await`: submit a request to the core and wait for its final answer."""
+"""Admission for asyncio callers: submit a request to the core and await its final answer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AdmissionWaiter:
-    """The caller of one admission request."""
+    """The caller of one admission request; resolves a future with the answer."""
 
     __slots__ = ("decided",)
 
@@ -28,16 +28,16 @@
     def on_answer(
         self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
     ) -> None:
-        """Wake the task that waits, unless it was cancelled."""
+        """Wake the waiting task, unless it was cancelled."""
         if not self.decided.done():
             self.decided.set_result(AdmissionDecision(verdict, retry_after_ms))
 
 
 async def admit(core: Core, incoming: IncomingRequest) -> AdmissionDecision:
-    """Ask for admission.  Raises `OutOfRangeError`.
+    """Request admission and await the decision.  Raises `OutOfRangeError`.
 
-    A task that is cancelled while it waits is charged nothing; one that is cancelled in the moment of its
-    admission is charged in full."""
+    If the task is cancelled while it waits, the tenant is charged nothing; if it is cancelled just as the
+    request is admitted, the tenant is charged in full."""
     waiter = AdmissionWaiter()
     request = core.submit(waiter, None, incoming, admission_only=True)
     try:
--- a/scalelb/core/endpoint_overrides.py
+++ b/scalelb/core/endpoint_overrides.py
@@ -1,11 +1,11 @@
-"""Endpoints that an operator has ejected by hand.  No I/O: the clock's reading is passed in.
+"""Manual overrides: endpoints that an operator has ejected.  No I/O; the time is passed in.
 
-An override stands beside the endpoint list: while an endpoint is ejected, the decisions see it as draining,
-whatever discovery says of it meanwhile.  Once the ejection is undone, the endpoint counts as just started,
-unless the list tells of a later start: an operator ejects an endpoint to restart it, and it comes back cold.
+An override is kept apart from the endpoint list: while an endpoint is ejected, the decision module sees it as
+draining, whatever discovery reports.  When the ejection is undone, the endpoint counts as just started,
+unless the list gives a later start time: operators eject an endpoint to restart it, and it has to warm up.
 
-Processes that stand for one limiter keep a copy each.  Of two copies of an override the later one wins, so
-copies may be merged in any order and more than once.
+Each incarnation of a limiter keeps its own copy.  Of two copies of an override the later one wins, so copies
+may be merged in any order and repeatedly.
 """
 
 from __future__ import annotations
@@ -16,33 +16,34 @@
 
 from scalelb.policy.endpoints import Endpoint, EndpointState
 
-MAX_OVERRIDES = 1024  # a further endpoint is turned down
-MAX_NAME_LENGTH = 256  # characters of an endpoint's name
-MIN_STEP_MS = 1.0  # between two overrides of one endpoint
+MAX_OVERRIDES = 1024  # overrides of further endpoints are refused
+MAX_NAME_LENGTH = 256  # characters in the name of an endpoint
+MIN_STEP_MS = 1.0  # minimum time between two overrides of one endpoint
 
 
 class Override(NamedTuple):
-    """The last override of one endpoint.  Compares by time; at the same time an ejection wins."""
+    """The latest override of one endpoint.  Compares by time; at the same time an ejection wins."""
 
     set_at: float  # ms of the limiter's clock
     is_ejected: bool
 
 
 class EndpointOverrides:
-    """The last override of each endpoint, and the endpoint list with the overrides applied."""
+    """The latest override of each endpoint, and the endpoint list with the overrides applied."""
 
     def __init__(self) -> None:
         self.by_endpoint: dict[str, Override] = {}
-        self.listed: dict[str, Endpoint] = {}  # as discovery has it
-        self.distrusted: set[str] = set()  # peers say that they are removed: they drain until the list tells
+        self.listed: dict[str, Endpoint] = {}  # as reported by discovery
+        # Endpoints that peers report as removed: they count as draining until discovery reports them.
+        self.distrusted: set[str] = set()
 
     def is_ejected(self, endpoint: str) -> bool:
-        """Whether an operator has ejected it."""
+        """Return whether an operator has ejected an endpoint."""
         override = self.by_endpoint.get(endpoint)
         return override is not None and override.is_ejected
 
     def on_endpoints(self, listed: Iterable[Endpoint], is_complete: bool) -> tuple[Endpoint, ...]:
-        """Take in the endpoint list, or its entries that changed; return them with the overrides applied."""
+        """Store the endpoint list, or the entries that changed; return them with the overrides applied."""
         endpoints = tuple(listed)
         if is_complete:
             self.listed = {}
@@ -56,7 +57,7 @@
         return tuple(map(self.apply, endpoints))
 
     def apply(self, endpoint: Endpoint) -> Endpoint:
-        """An entry of the list as the decisions are to see it."""
+        """Return an entry of the list with its override applied, for the decision module."""
         override = self.by_endpoint.get(endpoint.name)
         if endpoint.name in self.distrusted and endpoint.state is EndpointState.SERVING:
             return replace(endpoint, state=EndpointState.DRAINING)
@@ -67,47 +68,50 @@
         return replace(endpoint, started_at=max(endpoint.started_at, override.set_at))
 
     def set_by_operator(self, endpoint: str, is_ejected: bool, now: float) -> bool:
-        """Eject an endpoint, or undo that.  False where it is not known, or there are too many overrides."""
+        """Eject an endpoint, or undo its ejection.
+
+        Returns False if the endpoint is not known or there are too many overrides."""
         if endpoint not in self.listed and endpoint not in self.by_endpoint:
             return False
         old = self.by_endpoint.get(endpoint)
         if old is None:
             if not is_ejected:
-                return True  # nothing to undo; an override would make it count as just started
+                return True  # there is nothing to undo; an override would make it count as just started
             if len(self.by_endpoint) >= MAX_OVERRIDES and not self._evict():
                 return False
             self.by_endpoint[endpoint] = Override(now, is_ejected)
         elif old.is_ejected != is_ejected:
-            # Two overrides, or two processes' clocks, may be closer than a tick: the new one has to be later.
+            # Two overrides, or the clocks of two processes, may be less than a clock tick apart, but the new
+            # override must be later than the old one.
             self.by_endpoint[endpoint] = Override(max(now, old.set_at + MIN_STEP_MS), is_ejected)
         return True
 
     def merge(self, copies: Iterable[tuple[str, Override]]) -> list[str]:
-        """Merge another copy; return the endpoints whose override changed here."""
+        """Merge another copy; return the endpoints whose override changed."""
         changed = []
         for endpoint, override in copies:
             old = self.by_endpoint.get(endpoint)
             if old is not None:
-                is_taken = override > old
+                is_accepted = override > old
             else:
-                is_taken = len(self.by_endpoint) < MAX_OVERRIDES or self._evict()
-            if is_taken:
+                is_accepted = len(self.by_endpoint) < MAX_OVERRIDES or self._evict()
+            if is_accepted:
                 self.by_endpoint[endpoint] = override
                 changed.append(endpoint)
         return changed
 
     def effective_entries(self, endpoints: Iterable[str]) -> tuple[Endpoint, ...]:
-        """The listed ones of these endpoints with the overrides applied, as a change of the list."""
+        """Return the entries of those of these endpoints that are listed, with the overrides applied."""
         return tuple(self.apply(self.listed[name]) for name in endpoints if name in self.listed)
 
     def _evict(self) -> bool:
-        """Make room: forget the oldest override that ejects nothing, or an endpoint that is not listed."""
-        spare = [
+        """Evict the oldest override that is undone or whose endpoint is not listed; False if none is."""
+        evictable = [
             name
             for name, override in self.by_endpoint.items()
             if not override.is_ejected or name not in self.listed
         ]
-        if not spare:
+        if not evictable:
             return False
-        del self.by_endpoint[min(spare, key=lambda name: self.by_endpoint[name].set_at)]
+        del self.by_endpoint[min(evictable, key=lambda name: self.by_endpoint[name].set_at)]
         return True
--- a/scalelb/core/exceptions.py
+++ b/scalelb/core/exceptions.py
@@ -1,7 +1,7 @@
-"""Errors that the core raises to the fronts."""
+"""Exceptions that the core raises to the front ends."""
 
 from __future__ import annotations
 
 
 class OutOfRangeError(ValueError):
-    """A value of a request is out of its range; nothing was charged or sent."""
+    """A value of a request is out of range; nothing was charged or sent."""
--- a/scalelb/core/incoming_request.py
+++ b/scalelb/core/incoming_request.py
@@ -1,4 +1,4 @@
-"""A request as a front hands it to the core, whatever wire it came by."""
+"""A request as a front end submits it to the core, whatever protocol it arrived by."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 
 
 class IncomingRequest(NamedTuple):
-    """What a client asks for.  The values are checked by `Core.submit`.
+    """A client's request.  `Core.submit` checks the values.
 
-    A named tuple, as one is made for each request: it takes a third of a frozen dataclass's time."""
+    It is a named tuple because one is created for each request, which takes a third of the time that a frozen
+    dataclass takes."""
 
     tenant: str
     plan_index: int
     class_index: int
-    expires_in_ms: float  # the client gives up then
-    units: float  # an estimate where the settings say that the true cost follows
-    sharing_limiters: int = 1  # how many limiters the tenant's requests come through
+    expires_in_ms: float  # time until the client gives up
+    units: float  # an estimate if the settings let responses report the true units
+    sharing_limiters: int = 1  # number of limiters that share the tenant's requests
     first_limiter: int = 0  # index of the first of these
-    is_retry: bool = False  # by the client
-    listener: int = 0  # which of the limiter's own front ends it came through
-    # Needed where the same request may come through another listener, or where only some endpoints drop its
-    # duplicates; empty: none.
+    is_retry: bool = False  # whether the client marked it as a retry
+    listener: int = 0  # index of the limiter's listener through which it arrived
+    # Required if the same request may arrive through another listener, or if only some endpoints drop its
+    # duplicates; empty: no key.
     idempotency_key: str = ""
-    client_address: str = ""  # who holds the connection, for an admission queue that is fair by client
+    client_address: str = ""  # the peer of the connection, for an admission queue that is fair by client
 
     def arrival(
         self,
@@ -34,8 +35,10 @@
         admission_only: bool,
         execution: tuple[Endpoint, float] | None,
     ) -> RequestArrived:
-        """The event for the decisions.  `execution`: where and when (ms) an attempt with its idempotency key
-        may have been executed, sent by another limiter."""
+        """Return the event for the decision module.
+
+        `execution`: where and when (ms) an attempt with its idempotency key may have been executed that
+        another limiter sent."""
         executed_on, executed_at = execution if execution is not None else (None, 0.0)
         return RequestArrived(
             request_id,
--- a/scalelb/core/lifecycle.py
+++ b/scalelb/core/lifecycle.py
@@ -1,8 +1,8 @@
-"""The lifecycle of requests around the decisions: attempts, outcomes and timers.  It knows no wire or socket.
+"""The lifecycle of requests around the decision module: attempts, outcomes and timers.  No protocols or I/O.
 
-Fronts submit requests and get the one final answer of each; the back side (`Ports`) carries out what was
-decided and reports what became of it.  All input is gathered; `turn` hands it to the decisions in one go and
-then carries out the actions they return.
+Front ends submit requests and get one final answer for each.  The upstream side (`Ports`) sends attempts,
+calls the counter and reports the results.  All input is collected as events; `Core.turn` passes them to the
+decision module in one call and carries out the actions that it returns.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from scalelb.core.request_table import Caller, OpenRequest, RequestTable, Verdict
 from scalelb.core.timers import (
     ATTEMPT_TIMEOUT,
-    ENDING,
     POLICY,
     QUEUE_CHECK,
     REQUEST_DEADLINE,
+    SHUTDOWN,
     TABLE_FULL,
     Timer,
     TimerHeap,
@@ -59,12 +59,15 @@
 
 
 def log_fault(error: Exception) -> None:
-    """Log a fault that was contained."""
+    """Log an exception that was contained, with its traceback."""
     logging.getLogger(__name__).error("a fault was contained", exc_info=error)
 
 
 class Core:
-    """One limiter: its decisions, its open requests and their attempts.  Times in ms of `clock`."""
+    """One limiter: its decision module, its open requests and their attempts.
+
+    All times are in milliseconds of `clock`.
+    """
 
     def __init__(
         self,
@@ -84,26 +87,26 @@
         self.limiter = Limiter(settings, seed)
         self.open_requests = RequestTable()
         self.timers = TimerHeap(self.open_requests)
-        self.queue_adapter: QueueAdapter | None = None  # none: every request goes straight to the decisions
+        self.queue_adapter: QueueAdapter | None = None  # None: there is no admission queue
         if queue_settings is not None:
             self.queue_adapter = QueueAdapter(
                 queue_settings, settings, self.limiter, self.open_requests, self
             )
-        self.replicas: Replicas | None = None  # none: no links to other limiters
-        self.latest_answer_at = inf  # see `answer_all_by`
+        self.replicas: Replicas | None = None  # None: there are no links to other limiters
+        self.latest_answer_at = inf  # set by `answer_all_by`
         self.inbox: list[Event] = [Started()]
-        self.wakes_at = inf  # what was asked of `Ports.wake_at`; 0: as soon as possible
-        self.counts: dict[str, int] = {}  # since whoever logs them took them
+        self.wakes_at = inf  # the time requested from `Ports.wake_at`; 0: as soon as possible
+        self.counts: dict[str, int] = {}  # events by name; the periodic log line resets them
 
     # Input
 
     def submit(
         self, caller: Caller, payload: Any, incoming: IncomingRequest, admission_only: bool = False
     ) -> OpenRequest:
-        """Take a request; its caller gets the answer later, never during this call.
+        """Accept a request; its caller gets the answer later, never during this call.
 
-        With `admission_only` the caller forwards it itself: the good answer is `ADMITTED`, and no attempt is
-        sent.  Raises `OutOfRangeError`."""
+        With `admission_only` the caller forwards the request itself: the positive answer is `ADMITTED`, and
+        no attempt is sent.  Raises `OutOfRangeError`."""
         check_request(incoming, self.settings, self.limits.max_deadline_multiple)
         now = self.clock()
         time_left_ms = incoming.expires_in_ms - self.limits.client_transit_ms - self.limits.answer_margin_ms
@@ -112,10 +115,11 @@
         request = self.open_requests.open(caller, payload, expires_at, incoming.client_address)
         self.timers.add(request.expires_at, REQUEST_DEADLINE, request.request_id)
         if len(self.open_requests) > self.limits.max_open_requests:
-            # Bounds the memory.  Rejected in the next turn, as no answer is given during this call.
+            # The limit bounds memory.  The request is rejected in the next turn, as no answer may be given
+            # during this call.
             self.timers.add(now, TABLE_FULL, request.request_id)
         elif now >= self.latest_answer_at:
-            self.timers.add(now, ENDING, request.request_id)
+            self.timers.add(now, SHUTDOWN, request.request_id)
         else:
             execution = None
             if incoming.idempotency_key and self.replicas is not None:
@@ -125,10 +129,10 @@
         return request
 
     def answer_all_by(self, latest_answer_at: float) -> None:
-        """Answer every request by this time, whatever its own deadline is: the process ends soon after.
+        """Answer every request by this time, whatever its own deadline, as the process ends soon after.
 
-        This holds for those that are open as well, as answers on a connection come in the order of its
-        requests.  Only a response that is being streamed goes on."""
+        Requests that are already open are included, because the answers on a connection are sent in the order
+        of its requests.  Only a response that is being streamed continues."""
         self.latest_answer_at = latest_answer_at
         for request in self.open_requests.values():
             if request.expires_at > latest_answer_at:
@@ -137,7 +141,7 @@
         self._wake_soon()
 
     def cancel(self, request: OpenRequest) -> None:
-        """The client has left; no answer is owed."""
+        """Cancel a request whose client has disconnected; it gets no answer."""
         if not request.is_finished:
             self._finish(request)
             self._count("gone")
@@ -145,14 +149,16 @@
             self._wake_soon()
 
     def may_begin(self, request: OpenRequest) -> bool:
-        """Whether the attempt in flight may begin now.  To be asked when its first byte is about to be
-        written, which may be long after the decision, as it may have waited for a connection."""
+        """Return whether the attempt in flight may still begin.  Call this just before its first byte is
+        written: the attempt may have waited for a connection for a long time since the decision."""
         if not request.in_flight or request.is_finished:
             return False
         return self.clock() < min(request.expires_at, request.begin_before)
 
     def first_byte_forwarded(self, request: OpenRequest) -> None:
-        """A streamed response has begun to reach the client: no timeout and no deadline cuts it off now."""
+        """Record that a streamed response has begun to reach the client.
+
+        From then on neither its timeout nor its deadline cuts the response off."""
         request.first_byte_at = self.clock()
 
     def attempt_ended(
@@ -164,10 +170,10 @@
         true_units: float = 0.0,
         quota_used_percent: float | None = None,
     ) -> None:
-        """How the attempt in flight has ended.  A good answer goes to the client at once.
+        """Record the end of the attempt in flight.  A successful response is passed to the caller at once.
 
-        `true_units`: where the response told them, else 0.  `quota_used_percent`: by the tenant in the last
-        finished metering period, over all limiters."""
+        `true_units`: the units that the response reports, 0 if it reports none.  `quota_used_percent`: how
+        much of its quota the tenant used in the last finished metering period, over all limiters."""
         if not request.in_flight:
             return
         request.in_flight = False
@@ -175,21 +181,24 @@
         if outcome is Outcome.OK and not request.is_finished:
             self._answer(request, Verdict.SERVED, value)
         elif request.first_byte_at and not request.is_finished:
-            # The stream broke before anything of it left: the deadline, dropped meanwhile, holds again.
+            # The stream failed before the client got any of it: the deadline, which was not enforced
+            # meanwhile, applies again.
             self.timers.add(request.expires_at, REQUEST_DEADLINE, request.request_id)
         settled_units = self._settled_units(outcome, true_units)
         self._report_attempt(request, outcome, load_report, settled_units, quota_used_percent)
 
     def _settled_units(self, outcome: Outcome, true_units: float) -> float:
-        """The units that settle a request; 0: none.  Ignores those of a response that tells units where none
-        are settled, or more than a request can have: they would stay in the tenant's balance."""
+        """Return the true units that settle the charge of a request; 0 if none do.
+
+        Units reported by a response are ignored where the settings settle none and where they exceed what a
+        request can have, as they would remain in the tenant's balance."""
         if not self.settings.settles_true_units or outcome is not Outcome.OK:
             return 0.0
         is_in_range = 0 < true_units <= (self.settings.max_units or true_units)
         return true_units if is_in_range else 0.0
 
     def counter_replied(self, counter_key: int, outcome: Outcome, total: float, elapsed_ms: float) -> None:
-        """What became of a call to the counter."""
+        """Record the end of a call to the counter."""
         self._count("counter " + outcome.value)
         self.inbox.append(CounterReplied(counter_key, outcome, total, elapsed_ms))
         self._wake_soon()
@@ -201,22 +210,22 @@
         elapsed_ms: float,
         load_report: Mapping[str, float] = NO_LOAD_REPORT,
     ) -> None:
-        """What a health check found."""
+        """Record the result of a health check."""
         self.inbox.append(HealthCheckEnded(endpoint, outcome, elapsed_ms, load_report))
         self._wake_soon()
 
     def on_endpoints(self, endpoints: tuple[Endpoint, ...], is_complete: bool) -> None:
-        """The endpoint list, or its entries that changed."""
-        # The decisions first: an attempt that the back side abandons for this may be retried at once, and
-        # would be sent to the same endpoint again.
+        """Process the endpoint list (`is_complete`), or only the entries that changed."""
+        # The event is queued before the ports are called: they may abandon an attempt because of the change,
+        # and a decision module without the new list would retry it at once at the same endpoint.
         self.inbox.append(EndpointsListed(endpoints, is_complete))
         self.ports.on_endpoints(endpoints, is_complete)
         self._wake_soon()
 
-    # One turn
+    # One turn of the event loop
 
     def turn(self) -> None:
-        """Hand all input to the decisions in one go; carry out the actions they return."""
+        """Pass all collected input to the decision module and carry out the actions that it returns."""
         self.wakes_at = inf
         now = self.clock()
         expired = self._fire_timers(now)
@@ -239,12 +248,12 @@
             self.ports.wake_at(next_due_at)
 
     def _fire_timers(self, now: float) -> list[OpenRequest]:
-        """Act on the timers that have come due; return the requests whose deadline has passed."""
+        """Process all timers that are due; return the requests whose deadline has passed."""
         expired: list[OpenRequest] = []
         while (timer := self.timers.pop_due(now)) is not None:
             try:
                 self._fire(timer, expired)
-            except Exception as error:  # the timers behind it have come due as well
+            except Exception as error:  # a fault must not hold up the other timers that are due
                 self.contain(error)
         return expired
 
@@ -257,13 +266,13 @@
                 self.queue_adapter.check_came_due()
         elif (request := self.open_requests.get(subject_id)) is None:
             return
-        elif kind in (TABLE_FULL, ENDING):
+        elif kind in (TABLE_FULL, SHUTDOWN):
             sends_retry_after = self.settings.sends_retry_after
             retry_after_ms = self.settings.max_retry_after_ms if sends_retry_after else 0.0
             self._answer(request, Verdict.REJECTED, None, retry_after_ms)
             self._count("overfull" if kind == TABLE_FULL else "ending")
         elif request.first_byte_at:
-            return  # its response is being streamed to the client
+            return  # the response is being streamed to the client
         elif kind == REQUEST_DEADLINE:
             expired.append(request)
             if request.in_flight:
@@ -272,7 +281,9 @@
             self._abandon_attempt(request, Outcome.TIMEOUT)
 
     def _fail_unanswered(self, expired: list[OpenRequest]) -> None:
-        """Every request gets a final answer, even where the decisions gave none by its deadline."""
+        """Fail the expired requests that have no answer yet.
+
+        Every request gets a final answer, even if the decision module gives none by its deadline."""
         for request in expired:
             if not request.is_finished and not request.in_flight:
                 self._answer(request, Verdict.FAILED)
@@ -280,11 +291,11 @@
                 self._count("overdue")
 
     def decide(self, events: list[Event], now: float) -> None:
-        """Hand events to the decisions and carry out the actions they return."""
+        """Pass events to the decision module and carry out the actions that it returns."""
         for action in self._actions_for(events, now):
             try:
                 self._carry_out(action, now)
-            except Exception as error:  # it must not cost the other actions
+            except Exception as error:  # the other actions must still be carried out
                 self.contain(error)
                 if isinstance(action, SendAttempt | AdmitRequest | RejectRequest | FailRequest):
                     self.fail_after_fault(action.request_id)
@@ -301,12 +312,14 @@
             return []
 
     def contain(self, error: Exception) -> None:
-        """Report a fault that costs only what it concerns: the timers and all other requests go on."""
+        """Count and report a fault without interrupting the timers and the other requests."""
         self._count("fault")
         self.on_fault(error)
 
     def fail_after_fault(self, request_id: int) -> None:
-        """Answer a request with which something failed.  An attempt in flight may have been executed."""
+        """Fail a request whose processing raised an exception.
+
+        Its attempt in flight, if there is one, is reported as reset, as it may have been executed."""
         request = self.open_requests.get(request_id)
         if request is None:
             return
@@ -348,7 +361,7 @@
 
     def _send_attempt(self, action: SendAttempt, now: float) -> None:
         request = self.open_requests.get(action.request_id)
-        if request is None or request.in_flight:  # ended while the decisions were made: it is not sent
+        if request is None or request.in_flight:  # ended, or an attempt is still in flight
             number = action.attempt_number
             not_sent = AttemptEnded(action.request_id, number, action.endpoint, Outcome.NOT_SENT, 0.0, True)
             self.inbox.append(not_sent)
@@ -368,10 +381,10 @@
         request.in_flight = True
         self._count("fetches")
         if self.replicas is not None:
-            decided = self.limiter.requests.get(request.request_id)
-            if decided is not None:
-                # Before it is sent: a process that dies in between sent nothing.
-                self.replicas.record_attempt(decided)
+            policy_request = self.limiter.requests.get(request.request_id)
+            if policy_request is not None:
+                # Recorded before it is sent, so that none is sent unrecorded if the process dies in between.
+                self.replicas.record_attempt(policy_request)
         if self.queue_adapter is not None:
             self.queue_adapter.attempt_sent(request)
         self.ports.send_attempt(request, action.endpoint, timeout_ms)
@@ -390,8 +403,9 @@
         settled_units: float = 0.0,
         quota_used_percent: float | None = None,
     ) -> None:
-        """Tell the decisions, and the admission queue, how an attempt ended."""
-        # Of a streamed response the first byte tells how fast the endpoint is; the rest tells of the client.
+        """Report the end of an attempt to the decision module and the admission queue."""
+        # The latency of a streamed response ends at its first byte: that time depends on the endpoint, while
+        # the time of the rest depends on the client.
         ended_at = request.first_byte_at or self.clock()
         elapsed_ms = ended_at - request.sent_at
         request.first_byte_at = 0.0
@@ -426,7 +440,7 @@
         self._count(verdict.value)
         try:
             request.caller.on_answer(request, verdict, value, retry_after_ms)
-        except Exception as error:  # a caller that fails must not keep the decisions from what follows
+        except Exception as error:  # the decision module must still get the events that follow
             self.contain(error)
 
     def _answer_by_id(self, request_id: int, verdict: Verdict, retry_after_ms: float = 0.0) -> None:
@@ -435,14 +449,14 @@
             self._answer(request, verdict, None, retry_after_ms)
 
     def reject(self, request_id: int, retry_after_ms: float) -> None:
-        """Reject a request that has not reached the decisions: nothing was charged or sent."""
+        """Reject a request that has not reached the decision module: nothing was charged or sent."""
         self._count("turned away")
         if not self.settings.sends_retry_after:
             retry_after_ms = 0.0
         self._answer_by_id(request_id, Verdict.REJECTED, retry_after_ms)
 
     def _finish(self, request: OpenRequest) -> None:
-        """No answer is owed any more; the record stays while an attempt is in flight."""
+        """Mark a request as answered or cancelled.  It stays in the table while an attempt is in flight."""
         request.is_finished = True
         if self.queue_adapter is not None:
             self.queue_adapter.finished(request.request_id)
@@ -450,7 +464,7 @@
             self.open_requests.pop(request.request_id, None)
 
     def _withdraw(self, request: OpenRequest) -> None:
-        """Take an ended request out of the queue, or tell the decisions if they have it."""
+        """Cancel a finished request in the admission queue, or else in the decision module."""
         if self.queue_adapter is None or not self.queue_adapter.cancel(request.request_id):
             self.inbox.append(RequestCancelled(request.request_id))
 
--- a/scalelb/core/limits.py
+++ b/scalelb/core/limits.py
@@ -1,4 +1,4 @@
-"""Limits of the core that the platform does not set."""
+"""Limits of the core that are not part of the platform's settings."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreLimits:
-    """What the core holds at most, and how early it answers."""
+    """Bounds on open requests and deadlines."""
 
     max_open_requests: int = 4096
-    answer_margin_ms: float = 12.0  # before the client gives up, so that the answer reaches it in time
-    client_transit_ms: float = 1.0  # what a request is taken to have been under way
-    max_deadline_multiple: float = 2.0  # of its class's deadline: no client waits longer
+    answer_margin_ms: float = 12.0  # the client must get an answer before it gives up: it is due this early
+    client_transit_ms: float = 1.0  # assumed time that a request took from the client to here
+    max_deadline_multiple: float = 2.0  # longest deadline of a request, as a multiple of that of its class
 
 
 DEFAULT_LIMITS = CoreLimits()
--- a/scalelb/core/metrics.py
+++ b/scalelb/core/metrics.py
@@ -1,4 +1,4 @@
-"""Counts since the start, by request class.  Whoever reads them names them."""
+"""Counts since the start of the process, by the index of the request class."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ClassMetrics:
-    """Final answers by kind, and attempts whose last byte was written; one count for each class."""
+    """Final answers by kind, and attempts whose last byte was written; one count for each request class."""
 
     __slots__ = ("attempts", "errors", "ok", "rejected")
 
@@ -17,7 +17,7 @@
         self.attempts = [0] * class_count
 
     def by_class(self, class_names: Sequence[str]) -> dict[str, dict[str, int]]:
-        """The counts for the status output, by class name."""
+        """Return the counts for the status output, by class name."""
         columns = {"ok": self.ok, "shed": self.rejected, "errors": self.errors, "tries": self.attempts}
         return {
             name: {column: counts[index] for column, counts in columns.items()}
--- a/scalelb/core/ports.py
+++ b/scalelb/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core needs from outside: the back side, and the links to other limiters."""
+"""Interfaces that the core requires: the upstream side, and the links to other limiters."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 
 
 class Ports(Protocol):
-    """The back side: carries out what was decided, and reports to the core what became of it."""
+    """The upstream side of the core: carries out its actions and reports their results back to it."""
 
     def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
-        """Start an attempt; `Core.attempt_ended` must follow, unless `abandon_attempt` comes first."""
+        """Start an attempt; call `Core.attempt_ended` when it ends, unless `abandon_attempt` comes first."""
 
     def abandon_attempt(self, request: OpenRequest) -> None:
-        """Give up the attempt in flight."""
+        """Abandon the attempt in flight."""
 
     def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
-        """Call the counter; `Core.counter_replied` must follow."""
+        """Call the counter; call `Core.counter_replied` when that ends."""
 
     def check_health(self, endpoint: str) -> None:
-        """Start a health check; `Core.health_check_ended` must follow."""
+        """Start a health check; call `Core.health_check_ended` when it ends."""
 
     def on_endpoints(self, endpoints: Iterable[Endpoint], is_complete: bool) -> None:
-        """The endpoint list has changed: all of it, or these entries."""
+        """Process the endpoint list (`is_complete`), or only the entries that changed."""
 
     def wake_at(self, due_at: float) -> None:
-        """Call `Core.turn` at this time (ms); if it has passed, once all pending input has been gathered."""
+        """Call `Core.turn` at this time (ms); if it has passed, as soon as all pending input is collected."""
 
 
 class Replicas(Protocol):
-    """What other limiters know, where there are links to them (`program/peering.py`)."""
+    """Records of attempts that limiters share over their links (`program/peering.py`)."""
 
     def find_execution(self, tenant: str, key: str) -> tuple[Endpoint, float] | None:
-        """Where an attempt with this idempotency key may have been executed, and when it was sent (ms)."""
+        """Return where an attempt with this idempotency key may have been executed through another limiter,
+        and when it was sent (ms); None if there is none."""
 
     def record_attempt(self, request: Request) -> None:
-        """An attempt of a request with an idempotency key is about to be sent."""
+        """Record an attempt of a request with an idempotency key that is about to be sent."""
--- a/scalelb/core/queue_adapter.py
+++ b/scalelb/core/queue_adapter.py
@@ -1,4 +1,4 @@
-"""Between the core and the admission queue: who waits, who is passed on, who is rejected."""
+"""Adapter between the core and the admission queue, which forwards, queues or rejects requests."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 
 class Lifecycle(Protocol):
-    """What the adapter needs of the core."""
+    """The methods of the core that the adapter uses."""
 
     def decide(self, events: list[Event], now: float) -> None:
-        """Hand events to the decisions and carry out the actions they return."""
+        """Pass events to the decision module and carry out the actions that it returns."""
 
     def reject(self, request_id: int, retry_after_ms: float) -> None:
-        """Reject a request that has not reached the decisions."""
+        """Reject a request that has not reached the decision module."""
 
     def contain(self, error: Exception) -> None:
-        """Report a fault that costs only what it concerns."""
+        """Report a fault without interrupting anything else."""
 
     def fail_after_fault(self, request_id: int) -> None:
-        """Answer a request with which something failed."""
+        """Fail a request whose processing raised an exception."""
 
 
 class QueueAdapter:
-    """The admission queue in front of the decisions.  Times in ms."""
+    """The admission queue in front of the decision module.  Times are in milliseconds."""
 
     def __init__(
         self,
@@ -54,27 +54,29 @@
         self.limiter = limiter
         self.open_requests = open_requests
         self.lifecycle = lifecycle
-        self.check_at = inf  # for when a check is scheduled
+        self.check_at = inf  # the time for which a check is scheduled
 
     def process(self, events: list[Event], now: float) -> float | None:
-        """Hand the events to the queue and the decisions; return when to check the queue next, if that is to
-        be scheduled.  What ended frees capacity and comes first, then who waits, then who arrives."""
+        """Pass the events to the queue and the decision module.
+
+        Ended attempts free capacity, so other events come first, then queued requests, then new ones.
+        Returns when to check the queue next; None if no new check has to be scheduled."""
         arrivals = [event for event in events if isinstance(event, RequestArrived)]
         self.lifecycle.decide([event for event in events if not isinstance(event, RequestArrived)], now)
-        self._is_done(lambda: self._reject_overdue(now))
-        self._is_done(lambda: self._release(now))
+        self._run_step(lambda: self._reject_overdue(now))
+        self._run_step(lambda: self._release(now))
         for event in arrivals:
-            if not self._is_done(lambda event=event: self._enqueue(event, now)):  # type: ignore[misc]
+            if not self._run_step(lambda event=event: self._enqueue(event, now)):  # type: ignore[misc]
                 self.lifecycle.fail_after_fault(event.request_id)
-        self._is_done(lambda: self._release(now))
+        self._run_step(lambda: self._release(now))
         check_at = self.queue.next_wakeup_at()
         if check_at == inf or now < self.check_at <= check_at:
             return None
         self.check_at = check_at
         return check_at
 
-    def _is_done(self, step: Callable[[], None]) -> bool:
-        """Take one step; a fault in it must not cost the steps after it."""
+    def _run_step(self, step: Callable[[], None]) -> bool:
+        """Run one step; return False after a fault in it, which must not prevent the steps that follow."""
         try:
             step()
         except Exception as error:
@@ -87,11 +89,11 @@
             self.lifecycle.reject(queued.request.request_id, retry_after_ms)
 
     def check_came_due(self) -> None:
-        """The scheduled check has come due."""
+        """Note that the scheduled check is due."""
         self.check_at = inf
 
     def _release(self, now: float) -> None:
-        """Pass on what the queue releases, until it releases nothing more."""
+        """Forward the requests that the queue releases, until it releases no more."""
         while released := self.queue.release(now, self.limiter.sender.has_no_capacity):
             events: list[Event] = []
             for queued in released:
@@ -102,14 +104,14 @@
             self.lifecycle.decide(events, now)
 
     def _enqueue(self, event: RequestArrived, now: float) -> None:
-        """Pass a new request on, let it wait or reject it; it may displace another that waits."""
+        """Forward, queue or reject a new request; it may displace a queued one."""
         request = self.open_requests.get(event.request_id)
         if request is None or request.is_finished:
             return
-        credit = self._credit(event.tenant, now)
-        ask = self._ask(event, request, now)
+        quota = self._quota_balance(event.tenant, now)
+        admission_request = self._admission_request(event, request, now)
         request.relative_cost = self.limiter.estimates.relative_size(event.units)
-        decision, retry_after_ms, displaced = self.queue.request_arrived(now, ask, credit, event)
+        decision, retry_after_ms, displaced = self.queue.request_arrived(now, admission_request, quota, event)
         if displaced is not None:
             self.lifecycle.reject(displaced.request.request_id, retry_after_ms)
         if decision is QueueDecision.FORWARD:
@@ -117,7 +119,7 @@
         elif decision is QueueDecision.REJECT:
             self.lifecycle.reject(event.request_id, retry_after_ms)
 
-    def _ask(self, event: RequestArrived, request: OpenRequest, now: float) -> AdmissionRequest:
+    def _admission_request(self, event: RequestArrived, request: OpenRequest, now: float) -> AdmissionRequest:
         request_class = self.settings.request_classes[event.class_index]
         answer_by = now + min(request_class.latency_objective_ms, event.expires_in_ms)
         listener_bit = 1 << event.listener
@@ -136,30 +138,33 @@
             ),
         )
 
-    def _credit(self, tenant: str, now: float) -> QuotaBalance | None:
+    def _quota_balance(self, tenant: str, now: float) -> QuotaBalance | None:
         balance_and_rate = self.limiter.available_units(tenant, now)
         return QuotaBalance(*balance_and_rate) if balance_and_rate is not None else None
 
-    # What becomes of a request
+    # Later events of a request
 
     def cancel(self, request_id: int) -> bool:
-        """The request has ended without an answer; whether it waited in the queue."""
+        """Cancel a request; return whether it was queued."""
         return self.queue.request_cancelled(request_id)
 
     def admitted(self, request_id: int, now: float) -> None:
-        """The caller forwards it; it counts as in flight for the usual time, as nobody tells when it ends."""
+        """Record an admitted request, which its caller forwards.
+
+        It counts as in flight for the usual latency, as its end is not reported."""
         self.queue.request_admitted(now, request_id, self.limiter.estimates.latency_ms)
 
     def retry_after_ms(self, action: RejectRequest, now: float) -> float:
-        """When a rejected client may come back: the queue reserves what the decisions advise."""
+        """Return the Retry-After of a rejected request, based on the one that the decision module advises;
+        the queue makes a reservation for it."""
         forwarded = self.queue.forwarded.by_id.get(action.request_id)
         if not self.settings.sends_retry_after or forwarded is None:
             return action.retry_after_ms
-        credit = self._credit(forwarded.request.tenant, now)
-        return self.queue.request_rejected(now, action.request_id, credit, action.retry_after_ms)
+        quota = self._quota_balance(forwarded.request.tenant, now)
+        return self.queue.request_rejected(now, action.request_id, quota, action.retry_after_ms)
 
     def attempt_sent(self, request: OpenRequest) -> None:
-        """An attempt is about to be sent."""
+        """Record an attempt that is about to be sent, and the load of its endpoint."""
         self.queue.attempt_sent(request.request_id)
         endpoint = self.limiter.selector.endpoints.get(request.endpoint)
         if endpoint is None:
@@ -169,11 +174,11 @@
         request.endpoint_load = endpoint.load_in_flight - own_load
 
     def attempt_ended(self, request: OpenRequest, now: float, elapsed_ms: float, is_ok: bool) -> None:
-        """An attempt ended in a way that tells of the endpoint's load."""
+        """Record the end of an attempt whose outcome reflects the load of its endpoint."""
         self.queue.attempt_ended(
             now, request.endpoint, elapsed_ms, request.relative_cost, request.endpoint_load, is_ok
         )
 
     def finished(self, request_id: int) -> None:
-        """The request was answered or cancelled."""
+        """Record that a request was answered or cancelled."""
         self.queue.request_finished(request_id)
--- a/scalelb/core/request_table.py
+++ b/scalelb/core/request_table.py
@@ -1,4 +1,4 @@
-"""The open requests, what the core remembers of each, and who gets its final answer."""
+"""The table of open requests, with the state of each and the caller that gets its final answer."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class Caller(Protocol):
-    """The front's side of a request: it gets the final answer, once."""
+    """The front end's side of a request: it gets the final answer, exactly once."""
 
     def on_answer(
         self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
     ) -> None:
-        """Pass the answer on.  `value` is a slice that is valid during this call only."""
+        """Deliver the answer to the client.  `value` is a slice that is valid only during this call."""
 
 
 class OpenRequest:
-    """A request that a front has submitted.  Times in ms of the limiter's clock."""
+    """A request that a front end has submitted.  Times are in milliseconds of the limiter's clock."""
 
     __slots__ = (
         "attempt_handle", "attempt_number", "begin_before", "caller", "client_address", "endpoint",
@@ -39,23 +39,23 @@
     ) -> None:
         self.request_id = request_id
         self.caller = caller
-        self.payload = payload  # the front's own
+        self.payload = payload  # opaque to the core; used by the front end
         self.expires_at = expires_at
         self.client_address = client_address
-        self.relative_cost = 1.0  # expected service time, as a multiple of a mean request's
+        self.relative_cost = 1.0  # expected service time, as a multiple of that of a mean request
         self.endpoint_load = 0.0  # this limiter's other load on the endpoint when the attempt was sent
-        self.attempt_number = -1  # of the newest attempt
-        self.begin_before = inf  # the attempt's first byte is written before this time, or never
-        self.in_flight = False  # whether an attempt is
-        self.sent_at = 0.0  # when the newest attempt was sent
-        self.first_byte_at = 0.0  # when a streamed response began to reach the client, while it lasts; else 0
-        self.endpoint = ""  # of the newest attempt
-        self.attempt_handle: Any = None  # the back side's own, while an attempt is in flight
+        self.attempt_number = -1  # number of the latest attempt, -1 before the first
+        self.begin_before = inf  # the first byte of the attempt must be written before this time
+        self.in_flight = False  # whether an attempt is in flight
+        self.sent_at = 0.0  # when the latest attempt was sent
+        self.first_byte_at = 0.0  # when the first byte of a response in streaming was sent; 0: no stream
+        self.endpoint = ""  # endpoint of the latest attempt
+        self.attempt_handle: Any = None  # opaque to the core; set by the upstream side during an attempt
         self.is_finished = False  # answered or cancelled
 
 
 class RequestTable(dict[int, OpenRequest]):
-    """The open requests by id.  A finished one stays while an attempt of it is in flight."""
+    """The open requests by id.  A finished request stays while its attempt is in flight."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/scalelb/core/validation.py
+++ b/scalelb/core/validation.py
@@ -1,4 +1,4 @@
-"""Range checks on incoming requests, the same for every front."""
+"""Range checks on incoming requests, the same for all front ends."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 def check_request(request: IncomingRequest, settings: Settings, max_deadline_multiple: float) -> None:
-    """Raise `OutOfRangeError` where a value is out of its range.
+    """Raise `OutOfRangeError` if a value is out of range.
 
-    Units or limiters out of range would stay in the tenant's balance, whoever sent them; a request without a
-    deadline would be kept for good.  A client may wait `max_deadline_multiple` times its class's deadline."""
+    Units or limiter counts out of range would distort the tenant's balance permanently, and a request without
+    a deadline would stay open forever.  The longest deadline is `max_deadline_multiple` times that of the
+    request's class."""
     class_is_known = 0 <= request.class_index < len(settings.request_classes)
     plan_is_known = 0 <= request.plan_index < len(settings.plans)
     if not (class_is_known and plan_is_known):
