--- a/scalelb/admission_queue/admission_queue.py
+++ b/scalelb/admission_queue/admission_queue.py
@@ -40,9 +40,9 @@
         self.settings = settings
         self.fair_queue: FairQueue[QueuedRequest] = FairQueue()
         self.queued = QueuedRequests()
-        self.forwarded = ForwardedRequests(settings.waiting_most)
+        self.forwarded = ForwardedRequests(settings.max_unsent_per_flow)
         self.reservations = RetryAfterReservations(
-            settings.promises_most, settings.early_ms, settings.grace_ms
+            settings.max_reservations, settings.early_ms, settings.grace_ms
         )
         self.concurrency_limit = GradientLimit(
             settings.start_requests, settings.least_requests, settings.most_requests, settings.tolerance
@@ -90,7 +90,7 @@
             self.counts["late"] += 1
             return self._reject(now, request, flow, quota)
         displaced = None
-        if len(self.fair_queue) >= self.settings.held_most:
+        if len(self.fair_queue) >= self.settings.max_queued:
             self.counts["crowded"] += 1
             displaced_entry = self.fair_queue.entry_to_displace(flow, weight, request.units)
             if displaced_entry is None:
--- a/scalelb/admission_queue/flow_classification.py
+++ b/scalelb/admission_queue/flow_classification.py
@@ -19,5 +19,5 @@
 def flow_weight(settings: AdmissionQueueSettings, flow: str, request: AdmissionRequest) -> float:
     """The weight of a request's flow."""
     if flow == UNKNOWN_TENANTS_FLOW:
-        return settings.stranger_weight
+        return settings.unknown_tenants_weight
     return settings.plan_weight(request.plan_index)
--- a/scalelb/admission_queue/settings.py
+++ b/scalelb/admission_queue/settings.py
@@ -33,12 +33,12 @@
 
     flows: FlowKey = FlowKey.TENANT
     weights: tuple[float, ...] = ()  # by plan; empty: the plan's rate over the mean rate, 1 without a rate
-    stranger_weight: float = 8.0  # of the flow that all tenants share that were not seen lately
-    held_most: int = 2048  # queued requests, at most
-    waiting_most: int = 8  # forwarded requests of one flow that wait for quota or an endpoint, at most
+    unknown_tenants_weight: float = 8.0  # of the flow that all tenants share that were not seen lately
+    max_queued: int = 2048  # queued requests, at most
+    max_unsent_per_flow: int = 8  # forwarded requests of one flow that wait for quota or an endpoint, at most
     grace_ms: float = 400.0  # after its time, that a reservation may be redeemed
     early_ms: float = 25.0  # before its time, that a reservation may be redeemed: clocks and links differ
-    promises_most: int = 4096  # reservations, at most
+    max_reservations: int = 4096  # reservations, at most
     reserve: bool = True  # whether reservations hold back their units; needs clients that mark retries
     start_requests: float = 32.0  # the concurrency limit before any response
     least_requests: float = 6.0  # the concurrency limit's range
@@ -47,12 +47,12 @@
     plan_rates: tuple[float, ...] = field(default=(), compare=False)  # units a second
 
     def __post_init__(self) -> None:
-        for name in ("stranger_weight", "grace_ms", "early_ms", "start_requests", "least_requests"):
+        for name in ("unknown_tenants_weight", "grace_ms", "early_ms", "start_requests", "least_requests"):
             value = getattr(self, name)
             is_allowed_zero = value == 0 and name.endswith("_ms")
             if not (isfinite(value) and (value > 0 or is_allowed_zero)):
                 raise SettingRangeError(name, f"must be a finite number above 0, not {value!r}")
-        for name in ("held_most", "waiting_most", "promises_most"):
+        for name in ("max_queued", "max_unsent_per_flow", "max_reservations"):
             if getattr(self, name) < 1:
                 raise SettingRangeError(name, f"must be at least 1, not {getattr(self, name)!r}")
         for weight in self.weights:
--- a/scalelb/program/config.py
+++ b/scalelb/program/config.py
@@ -31,12 +31,12 @@
 # The admission queue's settings by the keys of `deploy/fairness.toml`.
 QUEUE_KEYS = {
     "weights": "weights",
-    "stranger_weight": "weights.strangers",
-    "held_most": "door.held",
-    "waiting_most": "door.waiting",
+    "unknown_tenants_weight": "weights.strangers",
+    "max_queued": "door.held",
+    "max_unsent_per_flow": "door.waiting",
     "grace_ms": "promises.grace_ms",
     "early_ms": "promises.early_ms",
-    "promises_most": "promises.most",
+    "max_reservations": "promises.most",
     "start_requests": "limit.start_requests",
     "least_requests": "limit.least_requests",
     "most_requests": "limit.most_requests",
@@ -330,12 +330,12 @@
             weights.number(name, 0.0, usual.plan_weight(plan_index), above=True)
             for plan_index, name in enumerate(plans)
         ),
-        stranger_weight=weights.number("strangers", 0.0, usual.stranger_weight, above=True),
-        held_most=door.whole("held", 1, usual.held_most),
-        waiting_most=door.whole("waiting", 1, usual.waiting_most),
+        unknown_tenants_weight=weights.number("strangers", 0.0, usual.unknown_tenants_weight, above=True),
+        max_queued=door.whole("held", 1, usual.max_queued),
+        max_unsent_per_flow=door.whole("waiting", 1, usual.max_unsent_per_flow),
         grace_ms=promises.number("grace_ms", 0.0, usual.grace_ms),
         early_ms=promises.number("early_ms", 0.0, usual.early_ms),
-        promises_most=promises.whole("most", 1, usual.promises_most),
+        max_reservations=promises.whole("most", 1, usual.max_reservations),
         reserve=promises.flag("reserve", usual.reserve),
         least_requests=limit.number("least_requests", 1.0, usual.least_requests),
         start_requests=limit.number("start_requests", 1.0, usual.start_requests),
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -27,7 +27,11 @@
 
 
 def an_admission_queue(**more: Any) -> AdmissionQueue:
-    given: dict[str, Any] = {"start_requests": 12.0, "least_requests": 6.0, "waiting_most": 1000} | more
+    given: dict[str, Any] = {
+        "start_requests": 12.0,
+        "least_requests": 6.0,
+        "max_unsent_per_flow": 1000,
+    } | more
     most = given.pop("max_retry_after_ms", inf)
     return AdmissionQueue(AdmissionQueueSettings(**given), most)
 
@@ -70,7 +74,7 @@
 
 
 def test_client_that_changes_its_tenant_name_shares_the_flow_of_unknown_tenants() -> None:
-    queue = an_admission_queue(stranger_weight=1.0)
+    queue = an_admission_queue(unknown_tenants_weight=1.0)
     for number in range(500):
         arrive(queue, a_request(number, f"name-{number}", is_known_tenant=False))
     for number in range(500, 540):
@@ -89,7 +93,7 @@
 
 
 def test_all_tenants_in_the_same_millisecond() -> None:
-    queue = an_admission_queue(held_most=500)
+    queue = an_admission_queue(max_queued=500)
     steps = [arrive(queue, a_request(n, f"t{n}", latest_send_at=2000.0)).decision for n in range(5000)]
     assert steps.count(QueueDecision.FORWARD) >= 12
     assert len(queue.queued.by_id) <= 500
@@ -101,7 +105,7 @@
 
 
 def test_full_queue_displaces_from_the_longest_flow() -> None:
-    queue = an_admission_queue(held_most=50)
+    queue = an_admission_queue(max_queued=50)
     for number in range(80):
         arrive(queue, a_request(number, "hog"))
     assert len(queue.queued.by_id) == 50
@@ -195,7 +199,7 @@
 @settings(max_examples=30, deadline=None)
 def test_random_events_keep_the_bounds_and_end_each_request_once(seed: int) -> None:
     drawn, now = random.Random(seed), 0.0
-    queue = an_admission_queue(held_most=20, promises_most=30, waiting_most=3)
+    queue = an_admission_queue(max_queued=20, max_reservations=30, max_unsent_per_flow=3)
     ended: set[int] = set()
     for ident in range(400):
         now += drawn.expovariate(0.2)
@@ -246,8 +250,8 @@
 @pytest.mark.parametrize(
     ("name", "value"),
     [
-        ("weights", (1.0, 0.0)), ("weights", (nan,)), ("weights", (inf,)), ("stranger_weight", -1.0),
-        ("held_most", 0), ("start_requests", 1.0), ("tolerance", nan), ("grace_ms", -1.0),
+        ("weights", (1.0, 0.0)), ("weights", (nan,)), ("weights", (inf,)), ("unknown_tenants_weight", -1.0),
+        ("max_queued", 0), ("start_requests", 1.0), ("tolerance", nan), ("grace_ms", -1.0),
     ],
 )  # fmt: skip
 def test_settings_out_of_range_are_rejected_by_name(name: str, value: Any) -> None:
--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -86,13 +86,13 @@
 def test_sighup_leaves_queued_requests() -> None:
     stage = Stage(fairness=TWO, has_counter=False)
     queue_third_request(stage)
-    stage.reload(director="127.0.0.1:7001", fairness=AdmissionQueueSettings(held_most=1))
+    stage.reload(director="127.0.0.1:7001", fairness=AdmissionQueueSettings(max_queued=1))
     assert [e["at_next_start"] for e in stage.logged if e["event"] == "reloaded"] == [["SCALELB_FAIRNESS"]]
     stage.play(STORIES["queued request is sent once there is capacity"])
 
 
 def test_full_core_answers_each_request_once() -> None:
-    back = Backside(SITE_ONE, door=replace(ONE, held_most=5))
+    back = Backside(SITE_ONE, door=replace(ONE, max_queued=5))
     clients = [ask(back, tenant=f"c{n % 7}")[0] for n in range(300)]
     back.run(10_000.0)
     assert all(len(client.answers) == 1 for client in clients)
