--- a/scalelb/admission_queue/admission_queue.py
+++ b/scalelb/admission_queue/admission_queue.py
@@ -1,9 +1,9 @@
-"""The admission queue: which request is forwarded next, how many wait, and when a rejected one may retry.
+"""The admission queue: which requests are forwarded, queued or rejected, and when rejected ones may retry.
 
-The caller reports events: `request_arrived` for each request, `attempt_sent`, `attempt_ended`,
-`request_finished` and others for what it forwarded.  It calls `remove_overdue` and `release` once a turn, and
-at `next_wakeup_at` at the latest.  Each queued request leaves the queue once: released, overdue, displaced or
-cancelled.  No I/O; times are passed in, in milliseconds.
+The caller reports events: `request_arrived` for each request, and `attempt_sent`, `attempt_ended`,
+`request_finished` and others for forwarded ones.  It calls `remove_overdue` and `release` once per turn of
+the event loop, and at `next_wakeup_at` at the latest.  Each queued request leaves the queue exactly once:
+released, overdue, displaced or cancelled.  No I/O; times are passed in, in milliseconds.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 from scalelb.admission_queue.settings import AdmissionQueueSettings
 from scalelb.admission_queue.throughput_estimate import ThroughputEstimate
 
-REDEEMED_RANK = -1e9  # a request that redeems a reservation goes before all others of its flow
-SPARSE_LIMIT_RATIO = 2.0  # of the concurrency limit that may be in flight as a sparse flow's request arrives
-MIN_RELATIVE_SIZE = 1e-6  # latency is divided by it
+REDEEMED_RANK = -1e9  # a request that redeems a reservation is served before all others of its flow
+SPARSE_LIMIT_RATIO = 2.0  # multiple of the concurrency limit that applies to a request of a sparse flow
+MIN_RELATIVE_SIZE = 1e-6  # avoids a division by zero, as latencies are divided by the relative size
 
 
 class AdmissionQueue:
-    """One limiter's admission queue.  `max_retry_after_ms`: the longest Retry-After; 0 is no bound."""
+    """The admission queue of one limiter.  `max_retry_after_ms`: the longest Retry-After; 0: no bound."""
 
     def __init__(self, settings: AdmissionQueueSettings, max_retry_after_ms: float = inf) -> None:
         self.settings = settings
@@ -57,7 +57,7 @@
             self.throughput,
         )
         self.now = -inf
-        # Counts under their names in the log.
+        # Event counts; the keys are the names in the log.
         self.counts = {"passed": 0, "held": 0, "late": 0, "crowded": 0, "reserved": 0, "overdue": 0}
 
     # Events of requests
@@ -65,7 +65,7 @@
     def request_arrived(
         self, now: float, request: AdmissionRequest, quota: QuotaBalance | None = None, payload: Any = None
     ) -> AdmissionResult:
-        """Forward, queue or reject one request, in O(log n).  `quota`: none where its tenant has none."""
+        """Forward, queue or reject one request, in O(log n).  `quota`: None if its tenant has no quota."""
         now = self._advance_clock(now)
         self.reservations.expire(now)
         flow = flow_of(self.settings, request)
@@ -115,19 +115,21 @@
     def request_rejected(
         self, now: float, request_id: int, quota: QuotaBalance | None, retry_after_ms: float
     ) -> float:
-        """The limiter rejected a forwarded request and advises `retry_after_ms`.  Returns the Retry-After, in
-        milliseconds, that its client is told; a reservation is made for it where possible."""
+        """Record that the limiter rejected a forwarded request and advises `retry_after_ms`.
+
+        Makes a reservation for the request if possible.  Returns the Retry-After for its client, in
+        milliseconds."""
         rejected = self.forwarded.by_id.get(request_id)
         if rejected is None or quota is None or quota.rate_per_s <= 0:
             return retry_after_ms
         now = self._advance_clock(now)
         missing_units = -quota.available_units
-        if missing_units + rejected.request.units <= 0:  # not for the quota: no endpoint had capacity
+        if missing_units + rejected.request.units <= 0:  # the quota covers it: no endpoint had capacity
             return max(retry_after_ms, self.retry_after.reserve(now, rejected.request, rejected.flow, None))
         return self.retry_after.reserve(now, rejected.request, rejected.flow, quota)
 
     def attempt_sent(self, request_id: int) -> None:
-        """An attempt of a forwarded request was sent; only the first counts."""
+        """Record that an attempt of a forwarded request was sent; only the first attempt has an effect."""
         forwarded = self.forwarded.by_id.get(request_id)
         if forwarded is not None and not forwarded.is_sent:
             forwarded.is_sent = True
@@ -136,7 +138,9 @@
             self.fair_queue.resume(forwarded.flow)
 
     def request_admitted(self, now: float, request_id: int, usual_latency_ms: float) -> None:
-        """The caller of a forwarded request sends it itself: it counts as in flight for the usual latency."""
+        """Record that the caller of a forwarded request sends it itself.
+
+        The request counts as in flight for the usual latency, as its end is not reported."""
         if request_id in self.forwarded.by_id:
             self.forwarded.expect_end(now + usual_latency_ms)
 
@@ -149,8 +153,11 @@
         endpoint_load: float,
         succeeded: bool,
     ) -> None:
-        """An attempt ended.  `relative_size`: its expected latency over that of a request of mean size;
-        `endpoint_load`: this limiter's other load on the endpoint when it was sent, in such requests."""
+        """Record the end of an attempt.
+
+        `relative_size`: its expected latency, as a multiple of that of a request of mean size.
+        `endpoint_load`: this limiter's other load on the endpoint when the attempt was sent, in requests of
+        mean size."""
         now = self._advance_clock(now)
         in_flight = self.forwarded.in_flight
         is_saturated = len(self.fair_queue) > 0
@@ -161,7 +168,7 @@
         )
 
     def request_finished(self, request_id: int) -> None:
-        """A forwarded request has its final answer, or its client left.  No effect on others."""
+        """Record that a forwarded request was answered or cancelled.  No effect for other requests."""
         finished = self.forwarded.by_id.pop(request_id, None)
         if finished is None:
             return
@@ -172,16 +179,18 @@
             self.fair_queue.resume(finished.flow)
 
     def request_cancelled(self, request_id: int) -> bool:
-        """The client of a request left.  Returns whether the request was queued here."""
+        """Remove a queued request whose client has disconnected.  Returns whether it was queued."""
         cancelled = self.queued.by_id.get(request_id)
         if cancelled is not None:
             self._remove(cancelled)
         return cancelled is not None
 
-    # Once a turn
+    # Once per turn
 
     def release(self, now: float, is_blocked: bool = False) -> list[QueuedRequest]:
-        """The queued requests to be forwarded now, in order.  `is_blocked`: no endpoint has capacity."""
+        """Remove and return the requests to be forwarded now, in order.
+
+        `is_blocked`: whether no endpoint has capacity."""
         now = self._advance_clock(now)
         self.forwarded.remove_ended(now)
         self.reservations.expire(now)
@@ -204,7 +213,7 @@
         return released
 
     def remove_overdue(self, now: float) -> list[tuple[QueuedRequest, float]]:
-        """Remove the requests that can't be sent in time any more; each with its Retry-After in ms."""
+        """Remove and return the requests that can't be sent in time any more, with their Retry-After (ms)."""
         now = self._advance_clock(now)
         overdue = []
         while (queued := self.queued.find_overdue(now)) is not None:
@@ -214,14 +223,14 @@
         return overdue
 
     def next_wakeup_at(self) -> float:
-        """When `remove_overdue` and `release` are due, unless an event comes before; may be infinite."""
+        """Return when `remove_overdue` and `release` are due if no event comes before; may be infinite."""
         next_overdue_at = self.queued.next_overdue_at()
         if self.forwarded.expected_ends and self.fair_queue:
             return min(next_overdue_at, self.forwarded.expected_ends[0])
         return next_overdue_at
 
     def log_fields(self) -> dict[str, object]:
-        """For the log: what is queued and reserved now, and the counts since the last call."""
+        """Return fields for the log: the current state, and the event counts since the last call."""
         fields: dict[str, object] = {
             "door": {
                 "held": len(self.fair_queue),
@@ -241,7 +250,7 @@
     # Helpers
 
     def _advance_clock(self, now: float) -> float:
-        """The latest time seen: a clock that steps back would make waits and rates negative."""
+        """Return the latest time seen, as a clock that steps back would make waits and rates negative."""
         self.now = max(self.now, now)
         return self.now
 
--- a/scalelb/admission_queue/admission_request.py
+++ b/scalelb/admission_queue/admission_request.py
@@ -1,4 +1,4 @@
-"""What the admission queue is asked and what it answers: requests, quota balances, decisions."""
+"""Input and output types of the admission queue: requests, quota balances, decisions."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class QueueDecision(Enum):
-    """What becomes of a request that arrives."""
+    """The decision about a request that arrives."""
 
-    FORWARD = "forward"  # to the limiter, now
-    QUEUE = "queue"  # it waits here
-    REJECT = "reject"  # answer it now
+    FORWARD = "forward"  # forward it to the limiter now
+    QUEUE = "queue"  # it was queued
+    REJECT = "reject"  # answer it with a rejection now
 
 
 class AdmissionRequest(NamedTuple):
@@ -24,36 +24,36 @@
     tenant: str
     plan_index: int
     units: float
-    latest_send_at: float  # sent later than this, its response would be late
+    latest_send_at: float  # its response would be late if it were sent after this time
     priority_weight: float = 1.0
-    is_retry: bool = False  # marked by its client: it may redeem a reservation
-    client: str = ""  # whoever holds the connection
-    is_known_tenant: bool = True  # whether its tenant was seen lately
-    is_already_charged: bool = False  # through another listener: it takes nothing from the quota
+    is_retry: bool = False  # whether its client marked it as a retry, which may redeem a reservation
+    client: str = ""  # address of the peer of its connection
+    is_known_tenant: bool = True  # whether its tenant was seen recently
+    is_already_charged: bool = False  # whether another listener charged it, so that it needs no quota
 
 
 class QuotaBalance(NamedTuple):
     """A tenant's quota at this limiter."""
 
-    available_units: float  # units on hand less those of the requests that wait for them
-    rate_per_s: float  # units a second
+    available_units: float  # balance less the units of the requests that wait for quota
+    rate_per_s: float  # units per second
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """A request that is queued here, or was forwarded and is not finished."""
+    """A request that is queued, or was forwarded and is not finished."""
 
     request: AdmissionRequest
     arrived_at: float
     flow: str
-    payload: Any = None  # the caller's own
-    entry: QueueEntry[QueuedRequest] | None = None  # while it is queued
+    payload: Any = None  # opaque to the queue; used by the caller
+    entry: QueueEntry[QueuedRequest] | None = None  # its entry in the fair queue while it is queued
     is_sent: bool = False  # whether its first attempt was sent
 
 
 class AdmissionResult(NamedTuple):
-    """What was decided about a request that arrived."""
+    """The decision about a request that arrived, with its consequences."""
 
     decision: QueueDecision
-    retry_after_ms: float = 0.0  # of the request that is rejected, this one or the displaced one
-    displaced: QueuedRequest | None = None  # a queued one that gives its place to this one: reject it instead
+    retry_after_ms: float = 0.0  # Retry-After of the rejected request: this one or the displaced one
+    displaced: QueuedRequest | None = None  # a queued request that this one displaced; it is to be rejected
--- a/scalelb/admission_queue/gradient_limit.py
+++ b/scalelb/admission_queue/gradient_limit.py
@@ -1,12 +1,13 @@
-"""A concurrency limit learnt from latency, so that requests queue here and not at the endpoints.
+"""A concurrency limit learned from latency, so that requests queue here and not at the endpoints.
 
-The gradient algorithm ("gradient2" of Netflix's concurrency-limits): each response's latency is divided by
-its endpoint's baseline, the latency of that same endpoint when it is unloaded.  While responses take little
-longer than the baseline, the limit grows by a part of its square root; as they take longer it shrinks in
-proportion.  It is updated once a window of about one response time: what is admitted now shows only then.
+It uses the gradient algorithm ("gradient2" of Netflix's concurrency-limits): the latency of each response is
+divided by the baseline of its endpoint, which is the latency of that endpoint when it is unloaded.  While
+responses take little longer than the baseline, the limit grows by a part of its square root; when they take
+longer, it shrinks in proportion.  It is updated once per window of about one response time, as the effect of
+a change shows only after that.
 
-Baselines are kept for each endpoint: one baseline for the whole fleet would cut the limit as soon as slower
-endpoints come into use.  `docs/fairness.md` has the figures of this and of the constants.
+Each endpoint has its own baseline: a single one for the fleet would reduce the limit as soon as slower
+endpoints are used.  `docs/fairness.md` has the measurements behind this and behind the constants.
 """
 
 from __future__ import annotations
@@ -15,23 +16,23 @@
 
 MIN_WINDOW_MS = 50.0
 MIN_WINDOW_RESPONSES = 8
-UNLOADED_LOAD = 0.05  # load of an endpoint, beside the request, up to which it counts as unloaded
-BASELINE_MEMORY = 20  # unloaded responses that a baseline is averaged over
-FLEET_BASELINE_RESPONSES = 4  # responses that the fleet's baseline counts for in each endpoint's
-GROWTH = 0.25  # times the square root of the limit: its growth in one window
-CLEAR_OVERLOAD_RATIO = 1.3  # latency over the baseline at which the limit shrinks even if it is not used up
-SHRINK_RATIO = 0.5  # part of the way down that is taken in one window
-FAILURE_RATIO = 0.9  # of the limit, in a window with a timeout or a full endpoint
+MAX_UNLOADED_LOAD = 0.05  # load of an endpoint, without the request, up to which it counts as unloaded
+BASELINE_MEMORY = 20  # number of unloaded responses over which a baseline is averaged
+FLEET_BASELINE_RESPONSES = 4  # weight of the fleet's baseline in that of an endpoint, in responses
+GROWTH = 0.25  # growth of the limit in one window, as a multiple of its square root
+CLEAR_OVERLOAD_RATIO = 1.3  # latency over the baseline from which on even an unused limit shrinks
+SHRINK_RATIO = 0.5  # part of the difference to a lower target by which the limit shrinks in one window
+FAILURE_RATIO = 0.9  # factor on the target after a window with a timeout or a full endpoint
 MAX_BASELINES = 1024  # endpoints whose baseline is remembered
 MIN_GRADIENT = 0.5
-MIN_DIVISOR = 1e-9  # a baseline or a ratio of 0 would end in a division by zero
+MIN_DIVISOR = 1e-9  # avoids a division by zero for a baseline or a ratio of 0
 
 
 class GradientLimit:
-    """A limit on the requests in flight.  Requests, not units: a core serves one at a time.
+    """A limit on the requests in flight.  It counts requests, not units, as a CPU core serves one at a time.
 
-    `limit` begins at `initial` and stays within `min_limit` and `max_limit` (requests); it grows while
-    latency is up to `tolerance_ratio` times the baseline.
+    `limit` starts at `initial` and stays between `min_limit` and `max_limit` (requests); it grows while the
+    latency is at most `tolerance_ratio` times the baseline.
     """
 
     def __init__(self, initial: float, min_limit: float, max_limit: float, tolerance_ratio: float) -> None:
@@ -39,12 +40,13 @@
         self.min_limit = min_limit
         self.max_limit = max_limit
         self.tolerance_ratio = tolerance_ratio
-        # By endpoint: the unloaded latency in milliseconds, and its responses; the newest last.
+        # By endpoint: the unloaded latency in milliseconds and the number of responses behind it.  The
+        # endpoint updated last comes last.
         self.baselines: dict[str, tuple[float, int]] = {}
         self.fleet_baseline: tuple[float, int] = (0.0, 0)
-        self.latency_ratio = 1.0  # mean latency over the baseline, in the last window
+        self.latency_ratio = 1.0  # mean latency over the baseline in the last window
         self.window_started_at = 0.0
-        self.responses = 0  # in this window, as all below
+        self.responses = 0  # in the current window, as all fields below
         self.failures = 0
         self.latency_ratio_sum = 0.0
         self.latency_sum_ms = 0.0
@@ -59,15 +61,16 @@
         in_flight: float,
         succeeded: bool,
     ) -> None:
-        """Learn from one attempt.
+        """Update baselines and limit from the end of one attempt.
 
         `latency_ms` is scaled to a request of mean size; `endpoint_load` is this limiter's other load on the
-        endpoint when the attempt was sent, in requests of mean size; `in_flight` counts all requests now.
+        endpoint when the attempt was sent, in requests of mean size; `in_flight` is the current number of all
+        requests in flight.
         """
-        if succeeded and endpoint_load <= UNLOADED_LOAD:
+        if succeeded and endpoint_load <= MAX_UNLOADED_LOAD:
             self.baselines[endpoint] = _averaged(self.baselines.pop(endpoint, (0.0, 0)), latency_ms)
             self.fleet_baseline = _averaged(self.fleet_baseline, latency_ms)
-            if len(self.baselines) > MAX_BASELINES:  # endpoints come and go: memory would grow without end
+            if len(self.baselines) > MAX_BASELINES:  # endpoints are replaced: memory would grow without bound
                 del self.baselines[next(iter(self.baselines))]
         self.max_in_flight = max(self.max_in_flight, in_flight)
         if not succeeded:
@@ -83,9 +86,10 @@
             self._start_window(now)
 
     def baseline_ms(self, endpoint: str) -> float:
-        """The unloaded latency of a request of mean size at an endpoint.
+        """Return the unloaded latency of a request of mean size at an endpoint.
 
-        It leans on the fleet's: under load a baseline gets no more responses, and would rest on very few.
+        It includes the fleet's baseline with a fixed weight: an endpoint under load gets no unloaded
+        responses, so that its own baseline may be based on very few.
         """
         baseline_ms, responses = self.baselines.get(endpoint, (0.0, 0))
         fleet_baseline_ms = self.fleet_baseline[0]
@@ -102,7 +106,7 @@
         self.max_in_flight = 0.0
 
     def _update(self) -> None:
-        """Set the limit from the window that ends."""
+        """Update the limit from the window that ends."""
         if self.responses:
             self.latency_ratio = self.latency_ratio_sum / self.responses
         gradient = max(MIN_GRADIENT, min(1.0, self.tolerance_ratio / max(self.latency_ratio, MIN_DIVISOR)))
@@ -110,7 +114,8 @@
         if self.failures:
             target *= FAILURE_RATIO
         target += GROWTH * sqrt(self.limit)
-        # A limit that was not used up shows nothing about a higher one; other limiters load the fleet too.
+        # A window in which the limit was not reached says nothing about a higher limit, and its latency may
+        # be due to the load of other limiters.
         is_unused = self.max_in_flight < self.limit / 2
         if is_unused and (target > self.limit or self.latency_ratio < CLEAR_OVERLOAD_RATIO):
             return
@@ -122,7 +127,7 @@
 
 
 def _averaged(known: tuple[float, int], value: float) -> tuple[float, int]:
-    """A mean and its count with one more value, over about the last `BASELINE_MEMORY` values."""
+    """Return a mean and its count after one more value, over about the last `BASELINE_MEMORY` values."""
     mean, count = known
     count = min(BASELINE_MEMORY, count + 1)
     return mean + (value - mean) / count, count
--- a/scalelb/admission_queue/queued_requests.py
+++ b/scalelb/admission_queue/queued_requests.py
@@ -1,4 +1,4 @@
-"""Queued requests by id and by deadline.  The order in which they are served is the fair queue's."""
+"""Queued requests by id and by deadline.  `FairQueue` has the order in which they are served."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from scalelb.admission_queue.admission_request import QueuedRequest
 
-MAX_STALE_DEADLINES = 64  # that the heap may hold, beside one for each queued request, before it is rebuilt
-WAKEUP_DELAY_MS = 1.0  # after a deadline: at the deadline itself a request is not overdue yet
+MAX_STALE_DEADLINES = 64  # the heap is rebuilt when its stale entries exceed the live ones by more than this
+WAKEUP_DELAY_MS = 1.0  # delay after a deadline, as a request is not overdue yet at the deadline itself
 
 
 class QueuedRequests:
-    """Requests that are queued.  Deadlines of those that left stay in the heap and are skipped."""
+    """Requests that are queued.  Deadlines of those that were removed stay in the heap and are skipped."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, QueuedRequest] = {}
-        self.deadlines: list[tuple[float, int]] = []  # a heap: the latest time to send it, and its id
+        self.deadlines: list[tuple[float, int]] = []  # a heap: the latest time to send a request, and its id
 
     def add(self, queued: QueuedRequest) -> None:
-        """Add a request that is queued from now on."""
+        """Add a request."""
         request = queued.request
         self.by_id[request.request_id] = queued
         heappush(self.deadlines, (request.latest_send_at, request.request_id))
@@ -28,7 +28,7 @@
             heapify(self.deadlines)
 
     def find_overdue(self, now: float) -> QueuedRequest | None:
-        """A request that can't be sent in time any more; the caller removes it.  Nothing where all can."""
+        """Return a request that can no longer be sent in time, None if all can.  The caller removes it."""
         while self.deadlines and self.deadlines[0][0] < now:
             _, request_id = heappop(self.deadlines)
             queued = self.by_id.get(request_id)
@@ -37,7 +37,7 @@
         return None
 
     def next_overdue_at(self) -> float:
-        """When the next request will be overdue; infinite where none is queued."""
+        """Return when the next request will be overdue; infinite if none is queued."""
         while self.deadlines and self.deadlines[0][1] not in self.by_id:
             heappop(self.deadlines)
         return self.deadlines[0][0] + WAKEUP_DELAY_MS if self.deadlines else inf
--- a/scalelb/admission_queue/rate_meter.py
+++ b/scalelb/admission_queue/rate_meter.py
@@ -1,18 +1,19 @@
-"""A rate and a mean learnt from events, both with exponential decay."""
+"""A rate and a mean of events, both with exponential decay."""
 
 from __future__ import annotations
 
 from math import exp
 
-MIN_AGE_RATIO = 0.05  # of the memory: a younger meter would divide by almost nothing
-MAX_STEP_RATIO = 0.1  # of the memory: what one value counts for at most, however long ago the last one was
+MIN_AGE_RATIO = 0.05  # smallest age, as a part of the memory: a new meter would divide by almost 0
+MAX_STEP_RATIO = 0.1  # longest time that one value stands for, as a part of the memory
 
 
 class RateMeter:
     """An exponentially decaying rate over about the last `memory_ms`.
 
-    It divides by the part of its memory that it has lived through, so that its rate is right from the first
-    events on.  Times are in milliseconds; one that lies before the last is taken as the last.
+    The decayed sum is divided by the part of the memory that has passed since the start, so that the rate is
+    correct from the first events on.  Times are in milliseconds; a time before the previous one is taken as
+    the previous one.
     """
 
     __slots__ = ("decayed_units", "memory_ms", "started_at", "updated_at")
@@ -24,13 +25,13 @@
         self.decayed_units = 0.0
 
     def add(self, now: float, units: float) -> None:
-        """Count units now."""
+        """Add units at the time `now`."""
         decay = exp(min(0.0, self.updated_at - now) / self.memory_ms)
         self.decayed_units = self.decayed_units * decay + units
         self.updated_at = max(now, self.updated_at)
 
     def rate_per_s(self, now: float) -> float:
-        """Units a second."""
+        """Return the rate in units per second."""
         units = self.decayed_units * exp(min(0.0, self.updated_at - now) / self.memory_ms)
         age_ms = max(now - self.started_at, MIN_AGE_RATIO * self.memory_ms)
         filled_ratio = 1.0 - exp(-age_ms / self.memory_ms)
@@ -38,7 +39,7 @@
 
 
 class DecayingMean:
-    """A mean over about the last `memory_ms`, each value weighted by time, not by the number of values."""
+    """A mean over about the last `memory_ms`, in which each value is weighted by the time it stands for."""
 
     __slots__ = ("covered_ms", "memory_ms", "updated_at", "value")
 
@@ -46,10 +47,10 @@
         self.memory_ms = memory_ms
         self.value = 0.0
         self.updated_at = 0.0
-        self.covered_ms = 0.0  # time that the values so far stand for
+        self.covered_ms = 0.0  # time that the values so far stand for, up to the memory
 
     def add(self, now: float, value: float) -> None:
-        """Add a value; it stands for the time since the previous one."""
+        """Add a value, which stands for the time since the previous one."""
         if self.value:
             elapsed_ms = min(max(0.0, now - self.updated_at), MAX_STEP_RATIO * self.memory_ms)
         else:
--- a/scalelb/admission_queue/retry_after.py
+++ b/scalelb/admission_queue/retry_after.py
@@ -1,4 +1,4 @@
-"""When a request would be served: how long it would be queued, and the Retry-After of a rejected one."""
+"""Estimates of how long a request would be queued, and the Retry-After of rejected requests."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class RetryAfter:
-    """Waits and reservations, by the backlog, the quota, earlier reservations and the fleet's throughput.
+    """Waits and reservations, from the backlog, the quota, earlier reservations and the fleet's throughput.
 
-    It reads the parts of the admission queue that it is given; of them it changes the reservations alone.
+    Of the components of the admission queue that are passed in, it changes only the reservations.
     """
 
     def __init__(
@@ -36,20 +36,23 @@
         self.throughput = throughput
 
     def is_quota_reserved(self, now: float, request: AdmissionRequest, quota: QuotaBalance | None) -> bool:
-        """Whether the quota that a request without a reservation needs is held for its tenant's others."""
+        """Return whether the quota that a request without a reservation needs is reserved for other requests
+        of its tenant."""
         if quota is None or quota.rate_per_s <= 0 or request.is_already_charged or not self.settings.reserve:
             return False
-        due_units, held_units, last_due_at = self.reservations.held(request.tenant, now)
-        if not held_units:
+        due_units, reserved_units, last_due_at = self.reservations.reserved(request.tenant, now)
+        if not reserved_units:
             return False
-        refill = quota.rate_per_s * max(0.0, last_due_at - now) / 1000.0
-        left_now = quota.available_units - due_units
-        left_at_last = quota.available_units + refill - held_units
-        return min(left_now, left_at_last) < request.units
+        refilled_units = quota.rate_per_s * max(0.0, last_due_at - now) / 1000.0
+        available_now = quota.available_units - due_units
+        available_at_last_due = quota.available_units + refilled_units - reserved_units
+        return min(available_now, available_at_last_due) < request.units
 
     def queue_wait_ms(self, request: AdmissionRequest, flow: str, weight: float) -> float:
-        """How long a request would be queued: its flow's backlog at the flow's share of the capacity, but no
-        longer than the whole queue at the whole capacity.  Reservations that are due before count too."""
+        """Return how long a request would be queued.
+
+        That is the backlog of its flow at the flow's share of the capacity, but no longer than the entire
+        queue at the entire capacity.  Reservations that are due before its latest send time count as well."""
         reserved_units = self.reservations.units_due_before(request.tenant, request.latest_send_at)
         units = request.units + reserved_units
         rate_per_ms = self.throughput.capacity_per_s(self.concurrency_limit.limit) / 1000.0
@@ -65,8 +68,10 @@
         return min(backlog_units * total_weight / weight, queue_units) / rate_per_ms
 
     def reserve(self, now: float, request: AdmissionRequest, flow: str, quota: QuotaBalance | None) -> float:
-        """Reserve for a rejected request: once the quota covers it and what is queued before it is served.
-        Returns its Retry-After in milliseconds."""
+        """Make a reservation for a rejected request.
+
+        It is due when the quota covers the request and the requests queued before it have been served.
+        Returns the Retry-After in milliseconds."""
         rate_per_s = inf
         missing_units = -request.units
         if self.fair_queue:
@@ -78,7 +83,7 @@
             if is_quota_slower or -quota.available_units > missing_units:
                 rate_per_s = min(rate_per_s, quota.rate_per_s)
                 missing_units = max(missing_units, -quota.available_units)
-        if rate_per_s == inf:  # neither queue nor quota is in the way: no endpoint had capacity just now
+        if rate_per_s == inf:  # neither queue nor quota limits it: no endpoint had capacity
             rate_per_s = self._flow_rate_per_s(now, request, flow)
         retry_after_ms, _ = self.reservations.reserve(
             request.tenant,
@@ -92,7 +97,7 @@
         return retry_after_ms
 
     def _flow_rate_per_s(self, now: float, request: AdmissionRequest, flow: str) -> float:
-        """Units a second that a request's flow may expect."""
+        """Return the units per second that the flow of a request may expect."""
         return self.throughput.flow_rate_per_s(
             now,
             flow,
--- a/scalelb/admission_queue/settings.py
+++ b/scalelb/admission_queue/settings.py
@@ -1,4 +1,4 @@
-"""The admission queue's settings, as `scalelb.program.config.read_admission_queue` reads them."""
+"""Settings of the admission queue; `scalelb.program.config.read_admission_queue` reads them from the file."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from math import isfinite
 
 MIN_TOLERANCE = 0.5
-MAX_TOLERANCE = 10.0
-MAX_REQUESTS = 1e6
+MAX_TOLERANCE = 10.0  # exclusive
+MAX_REQUESTS = 1e6  # exclusive bound of `most_requests`
 
 
 class SettingRangeError(ValueError):
-    """A setting is out of its range."""
+    """A setting is out of range.  `setting`: the name of the field; `reason`: the range and the value."""
 
     def __init__(self, setting: str, reason: str) -> None:
         super().__init__(f"{setting} {reason}")
@@ -21,30 +21,30 @@
 
 
 class FlowKey(Enum):
-    """What a request's flow is keyed by.  The values are those of the deploy file."""
+    """The property of requests that assigns them to flows.  The values are those of the deploy file."""
 
     TENANT = "customer"
-    CLIENT = "client"  # whoever holds the connection, under whatever tenants it sends
+    CLIENT = "client"  # the peer of the connection, whatever tenants its requests name
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionQueueSettings:
-    """All settings of one admission queue.  Raises `SettingRangeError` where one is out of range."""
+    """All settings of one admission queue.  Raises `SettingRangeError` if one is out of range."""
 
     flows: FlowKey = FlowKey.TENANT
     weights: tuple[float, ...] = ()  # by plan; empty: the plan's rate over the mean rate, 1 without a rate
-    unknown_tenants_weight: float = 8.0  # of the flow that all tenants share that were not seen lately
-    max_queued: int = 2048  # queued requests, at most
-    max_unsent_per_flow: int = 8  # forwarded requests of one flow that wait for quota or an endpoint, at most
-    grace_ms: float = 400.0  # after its time, that a reservation may be redeemed
-    early_ms: float = 25.0  # before its time, that a reservation may be redeemed: clocks and links differ
-    max_reservations: int = 4096  # reservations, at most
-    reserve: bool = True  # whether reservations hold back their units; needs clients that mark retries
-    start_requests: float = 32.0  # the concurrency limit before any response
-    least_requests: float = 6.0  # the concurrency limit's range
-    most_requests: float = 2048.0
+    unknown_tenants_weight: float = 8.0  # weight of the flow shared by all tenants not seen recently
+    max_queued: int = 2048  # queued requests
+    max_unsent_per_flow: int = 8  # forwarded requests of one flow that wait for quota or an endpoint
+    grace_ms: float = 400.0  # time after its due time for which a reservation may be redeemed
+    early_ms: float = 25.0  # time before its due time from which it may be: clocks and links differ
+    max_reservations: int = 4096  # Retry-After reservations
+    reserve: bool = True  # whether reserved units are withheld from others; needs clients that mark retries
+    start_requests: float = 32.0  # the concurrency limit before the first response
+    least_requests: float = 6.0  # lower bound of the concurrency limit
+    most_requests: float = 2048.0  # upper bound of the concurrency limit
     tolerance: float = 1.05  # latency over the unloaded latency up to which the concurrency limit grows
-    plan_rates: tuple[float, ...] = field(default=(), compare=False)  # units a second
+    plan_rates: tuple[float, ...] = field(default=(), compare=False)  # units per second
 
     def __post_init__(self) -> None:
         for name in ("unknown_tenants_weight", "grace_ms", "early_ms", "start_requests", "least_requests"):
@@ -74,7 +74,7 @@
             raise SettingRangeError("start_requests", reason)
 
     def plan_weight(self, plan_index: int) -> float:
-        """The weight of a plan's tenants: the setting, or else the plan's rate over the mean rate."""
+        """Return the weight of a plan's tenants: the setting, or else the plan's rate over the mean rate."""
         if self.weights:
             return self.weights[plan_index] if plan_index < len(self.weights) else 1.0
         rates = [rate for rate in self.plan_rates if rate > 0]
--- a/scalelb/admission_queue/tenant_records.py
+++ b/scalelb/admission_queue/tenant_records.py
@@ -1,10 +1,11 @@
-"""Compact records of evicted tenants: what is left of each one's token bucket, in a fixed number of bytes.
-
-Hash tables of plain arrays, 36 bytes a slot, with a bounded neighbourhood of slots for each name.  Names are
-hashed by keyed BLAKE2b under a random key, so that nobody can choose names that collide.  A record is dropped
-only once its token bucket is full again.  Where every table has a name's neighbourhood taken by buckets that
-are not, the record that is soonest full is evicted, and until it would have been full, tenants without a
-record start with an empty bucket: nobody gets a fresh burst by being forgotten.
+"""Compact records of evicted tenants: the state of each one's token bucket, in a fixed number of bytes.
+
+The records are stored in hash tables made of plain arrays, 36 bytes per slot, with a bounded neighbourhood of
+slots for each name.  Names are hashed with keyed BLAKE2b and a random key, so that clients can't choose names
+that collide.  A record is normally dropped only when its token bucket is full again.  If in every table the
+neighbourhood of a name is occupied by buckets that are not full, the record that will be full first is
+evicted; until the time when it would have been full, tenants without a record start with an empty bucket, so
+that eviction does not give any tenant a fresh burst.
 """
 
 from __future__ import annotations
@@ -16,30 +17,30 @@
 from math import ceil
 from typing import Any, NamedTuple
 
-SLOTS_PER_NAME = 8  # looked at for one name, in each table
+SLOTS_PER_NAME = 8  # slots in each table that may hold a certain name
 TABLE_BITS = 13  # a table has 2 ** TABLE_BITS slots
-MAX_TABLES = 16  # 131,072 records in all
-SLOT_BYTES = 36  # name hash 8, two times of 4, counter window 4, four amounts of 4
-TICK_MS = 10.0  # resolution of the times kept; over a year fits, and rounding is to the tenant's loss
-MAX_AMOUNT = 1e30  # units; a 32-bit float holds it
+MAX_TABLES = 16  # 131,072 records in total
+SLOT_BYTES = 36  # 8 for the name hash, 4 for each of two times, the counter window and four amounts
+TICK_MS = 10.0  # resolution of stored times; 32 bits cover more than a year
+MAX_AMOUNT = 1e30  # units; fits into a 32-bit float
 
 
 class TenantRecord(NamedTuple):
-    """What is kept of an evicted tenant.  Amounts are in units, times in milliseconds."""
+    """The stored state of an evicted tenant.  Amounts are in units, times in milliseconds."""
 
-    balance: float  # units on hand at this limiter
-    unreported_units: float  # granted here, not yet added to the shared counter
-    shared_balance: float  # units left for all limiters, by the counter's last answer
+    balance: float  # units available at this limiter
+    unreported_units: float  # units granted by this limiter and not yet added to the shared counter
+    shared_balance: float  # units left for all limiters according to the counter's last answer
     counter_total: float  # the counter's last answer in `counter_window`
     counter_window: int  # -1: none
     evicted_at: float
-    full_at: float  # when its token bucket is full again
+    full_at: float  # when the token bucket will be full again
     in_flight: int = 0  # attempts that another incarnation of this limiter still has in flight
-    in_flight_until: float = 0.0  # when those are taken to have ended
+    in_flight_until: float = 0.0  # when those attempts are assumed to have ended
 
 
 class RecordTable:
-    """A hash table of `2 ** bits` slots, and some behind the last so that no neighbourhood wraps round."""
+    """A hash table of `2 ** bits` slots, and a few more at the end so that no neighbourhood wraps around."""
 
     def __init__(self, bits: int) -> None:
         size = (1 << bits) + SLOTS_PER_NAME
@@ -54,7 +55,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """The size of all columns, however many slots are taken."""
+        """The size of all columns, whether their slots are occupied or not."""
         columns: list[array[Any]] = [
             self.name_hashes,
             self.evicted_ticks,
@@ -65,7 +66,7 @@
         return sum(column.itemsize * len(column) for column in columns)
 
     def find(self, name_hash: int) -> int:
-        """The slot that holds a name, or -1."""
+        """Return the slot that holds a name, or -1."""
         first = name_hash & self.mask
         neighbourhood = self.name_hashes[first : first + SLOTS_PER_NAME]
         if name_hash not in neighbourhood:
@@ -73,7 +74,7 @@
         return first + neighbourhood.index(name_hash)
 
     def find_free(self, name_hash: int, ticks: int) -> int:
-        """A slot for a name that is empty, or whose bucket is full again at `ticks` (then cleared), or -1."""
+        """Return a free slot for a name, or -1.  Clears and uses a slot whose bucket is full at `ticks`."""
         first = name_hash & self.mask
         for slot in range(first, first + SLOTS_PER_NAME):
             if not self.name_hashes[slot]:
@@ -83,21 +84,21 @@
                 return slot
         return -1
 
-    def soonest_full(self, name_hash: int) -> int:
-        """The slot in a name's neighbourhood whose bucket is full again first."""
+    def soonest_full_slot(self, name_hash: int) -> int:
+        """Return the slot in the neighbourhood of a name whose bucket will be full first."""
         first = name_hash & self.mask
         return min(range(first, first + SLOTS_PER_NAME), key=self.full_ticks.__getitem__)
 
     def clear(self, slot: int) -> None:
-        """Empty a slot that is taken."""
+        """Clear an occupied slot."""
         self.name_hashes[slot] = 0
         self.count -= 1
 
 
 class TenantRecords:
-    """The records of one limiter.  Tables are added as they are needed and removed once they are empty.
+    """The records of one limiter.  Tables are added as needed and removed when they are empty.
 
-    `hash_key` keys the hash of the names (at most 64 bytes); `bits` and `max_tables` bound the memory.
+    `hash_key` (at most 64 bytes) is the key of the name hash; `bits` and `max_tables` bound the memory.
     """
 
     def __init__(self, hash_key: bytes, bits: int = TABLE_BITS, max_tables: int = MAX_TABLES) -> None:
@@ -105,29 +106,29 @@
         self.bits = bits
         self.max_tables = max_tables
         self.tables: list[RecordTable] = []
-        self.epoch_at = 0.0  # ticks count from here
+        self.epoch_at = 0.0  # ticks are counted from this time
         self.unknown_start_empty_until = 0.0  # tenants without a record start with an empty bucket until then
-        self.inherited: dict[str, TenantRecord] = {}  # in full, from this limiter's previous incarnation
-        self.sweep_ticks = 0  # the time up to which the sweep under way clears slots
+        self.inherited: dict[str, TenantRecord] = {}  # complete records from this limiter's predecessor
+        self.sweep_ticks = 0  # the current sweep clears slots whose bucket is full at this time
         self.sweeping: Iterator[None] = iter(())
 
     @property
     def count(self) -> int:
-        """Records that are kept."""
+        """The number of records in the tables."""
         return sum(table.count for table in self.tables)
 
     @property
     def size_bytes(self) -> int:
-        """The size of all tables."""
+        """The current size of all tables."""
         return sum(table.size_bytes for table in self.tables)
 
     @property
     def max_size_bytes(self) -> int:
-        """The size that all tables can come to."""
+        """The maximum size of all tables."""
         return self.max_tables * ((1 << self.bits) + SLOTS_PER_NAME) * SLOT_BYTES
 
     def put(self, name: str, record: TenantRecord, now: float) -> None:
-        """Keep a record; none where the bucket is full already."""
+        """Store a record, unless its bucket is already full."""
         if record.full_at <= now:
             return
         if not self.tables:
@@ -156,7 +157,7 @@
         target.full_ticks[slot] = self._ticks(record.full_at)
 
     def take(self, name: str, now: float) -> TenantRecord | None:
-        """Remove a record and return it; nothing where there is none, or its bucket is full again."""
+        """Remove and return a record; None if there is none or its bucket is full again."""
         if self.inherited and (inherited := self.inherited.pop(name, None)) is not None:
             return inherited if max(inherited.full_at, inherited.in_flight_until) > now else None
         name_hash = self._hash(name) if self.tables else 0
@@ -173,7 +174,7 @@
         return None
 
     def has_record(self, name: str) -> bool:
-        """Whether there is a record of a tenant."""
+        """Return whether there is a record of a tenant."""
         if name in self.inherited:
             return True
         if not self.tables:
@@ -182,9 +183,11 @@
         return any(table.find(name_hash) >= 0 for table in self.tables)
 
     def sweep(self, now: float, max_slots: int) -> None:
-        """Drop what is full again among the next slots, and the last tables once they are empty."""
+        """Drop the records with full buckets among the next `max_slots` slots, and the last empty tables."""
         first_inherited = islice(self.inherited.items(), max_slots)
-        expired = [name for name, r in first_inherited if max(r.full_at, r.in_flight_until) <= now]
+        expired = [
+            name for name, record in first_inherited if max(record.full_at, record.in_flight_until) <= now
+        ]
         for name in expired:
             del self.inherited[name]
         if not self.tables:
@@ -196,16 +199,16 @@
             pass
 
     def _evict_soonest_full(self, name_hash: int) -> tuple[RecordTable, int]:
-        """Clear, of all tables, the slot for this name that is soonest full; the table and the slot."""
-        table = min(self.tables, key=lambda t: t.full_ticks[t.soonest_full(name_hash)])
-        slot = table.soonest_full(name_hash)
+        """Clear the slot for this name whose bucket will be full first; return its table and the slot."""
+        table = min(self.tables, key=lambda t: t.full_ticks[t.soonest_full_slot(name_hash)])
+        slot = table.soonest_full_slot(name_hash)
         full_at = self.epoch_at + TICK_MS * table.full_ticks[slot]
         self.unknown_start_empty_until = max(self.unknown_start_empty_until, full_at)
         table.clear(slot)
         return table, slot
 
     def _sweep_all(self) -> Iterator[None]:
-        """One sweep over all tables, a slot a step."""
+        """Sweep all tables once, one slot per step."""
         for table in list(self.tables):
             for slot in range(table.size):
                 if table.name_hashes[slot] and table.full_ticks[slot] <= self.sweep_ticks:
@@ -215,10 +218,11 @@
             self.tables.pop()
 
     def _hash(self, name: str) -> int:
-        """64 bits, never 0, which marks an empty slot."""
+        """Return a 64-bit hash; never 0, which marks an empty slot."""
         digest = blake2b(name.encode("utf-8", "surrogatepass"), digest_size=8, key=self.hash_key).digest()
         return int.from_bytes(digest, "big") or 1
 
     def _ticks(self, at: float) -> int:
-        """A time in ticks, rounded up: less is credited since the eviction, and the bucket is full later."""
+        """Return a time in ticks, rounded up to the tenant's disadvantage: less is credited for the time
+        since the eviction, and the bucket is full later."""
         return max(0, min(2**32 - 1, ceil((at - self.epoch_at) / TICK_MS)))
--- a/scalelb/admission_queue/throughput_estimate.py
+++ b/scalelb/admission_queue/throughput_estimate.py
@@ -1,4 +1,4 @@
-"""How many units a second the fleet serves for this limiter, and how many of them a flow may expect."""
+"""Estimates of the units per second that the fleet serves for this limiter and that a flow may expect."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 RATE_MEMORY_MS = 5000.0
 MAX_FLOW_RATES = 256  # flows whose rate is remembered
-NEWEST_LATENCY_WEIGHT = 0.05  # of the newest response in the mean latency
-RESERVABLE_RATIO = 0.9  # of what a flow may expect: estimates lag behind
-MIN_CAPACITY_PER_S = 1e-3  # units a second; waits are divided by it
+LATEST_LATENCY_WEIGHT = 0.05  # weight of the latest response in the mean latency
+RESERVABLE_RATIO = 0.9  # part of a flow's expected rate that is used, as estimates lag behind
+MIN_CAPACITY_PER_S = 1e-3  # units per second; avoids a division by zero in waits
 
 
 class ThroughputEstimate:
-    """Estimates from the requests that were forwarded and the responses that came."""
+    """Estimates from forwarded requests and their responses."""
 
     def __init__(self) -> None:
         self.mean_latency_ms = 0.0
-        self.flow_rates: dict[str, RateMeter] = {}  # units forwarded; the flow forwarded last stands last
+        self.flow_rates: dict[str, RateMeter] = {}  # units forwarded; the flow forwarded last comes last
         self.total_rate: RateMeter | None = None
-        self.mean_units = DecayingMean(RATE_MEMORY_MS)  # of a request
-        self.measured_capacity = DecayingMean(RATE_MEMORY_MS)  # units a second
+        self.mean_units = DecayingMean(RATE_MEMORY_MS)  # units of a request
+        self.measured_capacity = DecayingMean(RATE_MEMORY_MS)  # units per second
 
     def record_forwarded(self, now: float, flow: str, units: float) -> None:
-        """A request of a flow is forwarded."""
+        """Record a forwarded request of a flow."""
         flow_rate = self.flow_rates.pop(flow, None) or RateMeter(RATE_MEMORY_MS, now)
-        if len(self.flow_rates) >= MAX_FLOW_RATES:  # flows come and go: memory would grow without end
+        if len(self.flow_rates) >= MAX_FLOW_RATES:  # flows are replaced: memory would grow without bound
             del self.flow_rates[next(iter(self.flow_rates))]
         self.flow_rates[flow] = flow_rate
         self.mean_units.add(now, units)
@@ -35,16 +35,18 @@
     def record_response(
         self, now: float, latency_ms: float, succeeded: bool, in_flight: int, is_saturated: bool
     ) -> None:
-        """An attempt ended.  `is_saturated`: requests are queued, so that the fleet has all it may have."""
+        """Record the end of an attempt.
+
+        `is_saturated`: requests are queued, so that the fleet has as many in flight as the limit allows."""
         if succeeded:
-            weight = NEWEST_LATENCY_WEIGHT if self.mean_latency_ms else 1.0
+            weight = LATEST_LATENCY_WEIGHT if self.mean_latency_ms else 1.0
             self.mean_latency_ms += weight * (latency_ms - self.mean_latency_ms)
         if self.mean_latency_ms and is_saturated:  # Little's law holds while the fleet is saturated
             mean_units = self.mean_units.value or 1.0
             self.measured_capacity.add(now, 1000.0 * in_flight * mean_units / self.mean_latency_ms)
 
     def capacity_per_s(self, concurrency_limit: float) -> float:
-        """Units a second that the fleet serves: measured, or else guessed by Little's law from the limit."""
+        """Return the units per second that the fleet serves: measured, or else estimated by Little's law."""
         capacity = self.measured_capacity.value
         if not capacity:
             mean_units = self.mean_units.value or 1.0
@@ -54,11 +56,11 @@
     def flow_rate_per_s(
         self, now: float, flow: str, weight: float, backlogged_weight: float, concurrency_limit: float
     ) -> float:
-        """Units a second that a flow may expect: what the other flows leave of the capacity, and its share by
-        weight at the least.
+        """Return the units per second that a flow may expect: the capacity that the other flows leave unused,
+        but at least its share by weight.
 
-        Its own past rate is left out on purpose: reservations by that rate would come later and later, as a
-        flow that is promised less takes less.
+        The past rate of the flow itself is left out on purpose: reservations based on it would be due later
+        and later, as a flow that is offered less uses less.
         """
         total_weight = weight + max(backlogged_weight, len(self.flow_rates))
         own_rate = self.flow_rates[flow].rate_per_s(now) if flow in self.flow_rates else 0.0
