--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -1,4 +1,4 @@
-"""The admission queue before the limiter: through the listeners, at stop and reload; its settings."""
+"""The admission queue in front of the limiter: requests of all listeners, shutdown, reload, its settings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from driver import SETTINGS, Driver
 from scenario import Stage
 from standin import KINDS, PLANS, SITE, Backside
-from test_core import Client, ask
+from test_core import RecordingClient, submit
 from test_middleware import HEADERS
 
 from scalelb.admission_queue import AdmissionQueueSettings
@@ -21,12 +21,12 @@
 from scalelb.policy.tenant_table import MAX_TENANTS
 from scalelb.program.config import ConfigError, read_admission_queue
 
-ONE = AdmissionQueueSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
-TWO = AdmissionQueueSettings(start_requests=2.0, least_requests=2.0, most_requests=2.0)
-SITE_ONE = replace(SITE, has_counter=False)
+ONE_IN_FLIGHT = AdmissionQueueSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
+TWO_IN_FLIGHT = AdmissionQueueSettings(start_requests=2.0, least_requests=2.0, most_requests=2.0)
+NO_COUNTER = replace(SITE, has_counter=False)
 
-STORIES = {
-    "queued request is sent once there is capacity": """
+SCENARIOS = {
+    "queued request is sent when there is capacity": """
         backend send {SERVED}
         wait 20
         backend expect 0000000000000003
@@ -44,137 +44,141 @@
 }
 
 
-def queue_third_request(stage: Stage, wait: int = 7000) -> None:
-    stage.play("client1 send {call(1)}\nbackend expect 0000000000000001")
-    stage.play("client2 send {call(2)}\nbackend2 expect 0000000000000002")
-    stage.play(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 silent")
-    adapter = stage.loop.core.queue_adapter
+def queue_third_request(harness: Stage, wait: int = 7000) -> None:
+    harness.play("client1 send {call(1)}\nbackend expect 0000000000000001")
+    harness.play("client2 send {call(2)}\nbackend2 expect 0000000000000002")
+    harness.play(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 silent")
+    adapter = harness.loop.core.queue_adapter
     assert adapter is not None
     assert list(adapter.queue.queued.by_id) == [3]
 
 
-@pytest.mark.parametrize("story", STORIES.values(), ids=STORIES.keys())
-def test_queued_request_is_forwarded_once_or_never(story: str) -> None:
-    stage = Stage(fairness=TWO, has_counter=False)
-    queue_third_request(stage)
-    stage.play(story)
-    adapter = stage.loop.core.queue_adapter
+@pytest.mark.parametrize("scenario", SCENARIOS.values(), ids=SCENARIOS.keys())
+def test_queued_request_is_forwarded_at_most_once(scenario: str) -> None:
+    harness = Stage(fairness=TWO_IN_FLIGHT, has_counter=False)
+    queue_third_request(harness)
+    harness.play(scenario)
+    adapter = harness.loop.core.queue_adapter
     assert adapter is not None
     assert not adapter.queue.queued.by_id
     assert not adapter.queue.fair_queue.flows
 
 
 def test_overdue_request_is_rejected_and_never_sent() -> None:
-    stage = Stage(fairness=TWO, has_counter=False)
-    queue_third_request(stage, wait=400)
-    stage.play("wait 300\nclient3 expect -BUSY\nbackend send {SERVED}\nwait 20\nbackend silent")
-
-
-def test_sigterm_finishes_queued_requests() -> None:
-    stage = Stage(fairness=TWO, has_counter=False)
-    queue_third_request(stage)
-    stage.program.stop()
-    stage.wait(750)
-    stage.play("backend send {SERVED}\nwait 20\nbackend expect 0000000000000003\nbackend send {SERVED}")
-    stage.play("client3 expect $2\\nok\\n\nbackend2 send {SERVED}")
+    harness = Stage(fairness=TWO_IN_FLIGHT, has_counter=False)
+    queue_third_request(harness, wait=400)
+    harness.play("wait 300\nclient3 expect -BUSY\nbackend send {SERVED}\nwait 20\nbackend silent")
+
+
+def test_queued_requests_are_finished_after_sigterm() -> None:
+    harness = Stage(fairness=TWO_IN_FLIGHT, has_counter=False)
+    queue_third_request(harness)
+    harness.program.stop()
+    harness.wait(750)
+    harness.play("backend send {SERVED}\nwait 20\nbackend expect 0000000000000003\nbackend send {SERVED}")
+    harness.play("client3 expect $2\\nok\\n\nbackend2 send {SERVED}")
     for number in (1, 2, 3):
-        stage.play(f"client{number} close")
-    stage.wait(100)
-    assert stage.net.stopped
+        harness.play(f"client{number} close")
+    harness.wait(100)
+    assert harness.net.stopped
 
 
-def test_sighup_leaves_queued_requests() -> None:
-    stage = Stage(fairness=TWO, has_counter=False)
-    queue_third_request(stage)
-    stage.reload(director="127.0.0.1:7001", fairness=AdmissionQueueSettings(max_queued=1))
-    assert [e["at_next_start"] for e in stage.logged if e["event"] == "reloaded"] == [["SCALELB_FAIRNESS"]]
-    stage.play(STORIES["queued request is sent once there is capacity"])
+def test_sighup_does_not_affect_queued_requests() -> None:
+    harness = Stage(fairness=TWO_IN_FLIGHT, has_counter=False)
+    queue_third_request(harness)
+    harness.reload(director="127.0.0.1:7001", fairness=AdmissionQueueSettings(max_queued=1))
+    assert [entry["at_next_start"] for entry in harness.logged if entry["event"] == "reloaded"] == [
+        ["SCALELB_FAIRNESS"]
+    ]
+    harness.play(SCENARIOS["queued request is sent when there is capacity"])
 
 
-def test_full_core_answers_each_request_once() -> None:
-    back = Backside(SITE_ONE, door=replace(ONE, max_queued=5))
-    clients = [ask(back, tenant=f"c{n % 7}")[0] for n in range(300)]
-    back.run(10_000.0)
+def test_each_request_is_answered_once_when_the_queue_is_full() -> None:
+    harness = Backside(NO_COUNTER, door=replace(ONE_IN_FLIGHT, max_queued=5))
+    clients = [submit(harness, tenant=f"c{n % 7}")[0] for n in range(300)]
+    harness.run(10_000.0)
     assert all(len(client.answers) == 1 for client in clients)
-    assert back.core.queue_adapter is not None
-    door = back.core.queue_adapter.queue
-    assert not (door.queued.by_id)
-    assert not (door.forwarded.by_id)
-    assert not (door.forwarded.unsent_by_flow)
-    assert not (door.forwarded.in_flight)
-    assert not back.core.open_requests
-
-
-@pytest.mark.parametrize("through", [1, 2])
-def test_keyed_request_queued_through_one_listener_is_charged_once_through_another(through: int) -> None:
-    back = Backside(SITE_ONE, door=ONE)
+    assert harness.core.queue_adapter is not None
+    queue = harness.core.queue_adapter.queue
+    assert not (queue.queued.by_id)
+    assert not (queue.forwarded.by_id)
+    assert not (queue.forwarded.unsent_by_flow)
+    assert not (queue.forwarded.in_flight)
+    assert not harness.core.open_requests
+
+
+@pytest.mark.parametrize("second_listener", [1, 2])
+def test_keyed_request_queued_through_one_listener_is_charged_once_through_another(
+    second_listener: int,
+) -> None:
+    harness = Backside(NO_COUNTER, door=ONE_IN_FLIGHT)
     for _ in range(2):
-        ask(back)
-        back.run()
+        submit(harness)
+        harness.run()
     keyed: dict[str, Any] = {"class_index": 1, "idempotency_key": "k1", "units": 2.0, "expires_in_ms": 4000.0}
-    first, request = ask(back, listener=0, **keyed)
-    back.run()
-    adapter = back.core.queue_adapter
+    first, request = submit(harness, listener=0, **keyed)
+    harness.run()
+    adapter = harness.core.queue_adapter
     assert adapter is not None
     assert request.request_id in adapter.queue.queued.by_id
-    before = back.core.limiter.tenants.tenants["ad"].bucket.balance
-    second, _ = ask(back, listener=through - 1, is_retry=True, **keyed)
-    back.run()
-    spent = before - back.core.limiter.tenants.tenants["ad"].bucket.balance
-    assert spent == 0.0  # both wait: nothing is charged before it goes on
-    door = adapter.queue
+    balance_before = harness.core.limiter.tenants.tenants["ad"].bucket.balance
+    second, _ = submit(harness, listener=second_listener - 1, is_retry=True, **keyed)
+    harness.run()
+    spent_units = balance_before - harness.core.limiter.tenants.tenants["ad"].bucket.balance
+    assert spent_units == 0.0  # both are queued: nothing is charged before a request is forwarded
+    queue = adapter.queue
     charged: list[float] = []
-    charge = back.core.limiter.sender._charge
+    charge = harness.core.limiter.sender._charge
 
-    def counted(request: Any, now: float, whole: bool) -> None:
-        charge(request, now, whole)
+    def recording_charge(request: Any, now: float, is_charged: bool) -> None:
+        charge(request, now, is_charged)
         charged.append(request.charged_units if request.idempotency_key else 0.0)
 
-    back.core.limiter.sender._charge = counted  # type: ignore
-    back.run(3000.0)
+    harness.core.limiter.sender._charge = recording_charge  # type: ignore
+    harness.run(3000.0)
     assert first.answers
     assert second.answers
-    assert not door.queued.by_id
-    assert sum(charged) == (2.0 if through == 2 else 4.0)
+    assert not queue.queued.by_id
+    assert sum(charged) == (2.0 if second_listener == 2 else 4.0)
 
 
 def test_admissions_are_queued_and_count_as_in_flight_for_the_usual_latency() -> None:
-    back = Backside(SITE_ONE, door=ONE)
-    clients = [ask(back, admission_only=True)[0] for _ in range(4)]
-    back.run()
+    harness = Backside(NO_COUNTER, door=ONE_IN_FLIGHT)
+    clients = [submit(harness, admission_only=True)[0] for _ in range(4)]
+    harness.run()
     answered = [len(client.answers) for client in clients]
     assert sum(answered) < 4
-    back.run(1000.0)
+    harness.run(1000.0)
     assert [client.answers[0][0] for client in clients] == [Verdict.ADMITTED] * 4
 
 
 def test_request_cancelled_while_queued_spends_nothing() -> None:
-    back = Backside(SITE_ONE, door=ONE)
+    harness = Backside(NO_COUNTER, door=ONE_IN_FLIGHT)
     for _ in range(2):
-        ask(back)
-        back.run()
-    client, request = ask(back, units=3.0)
-    back.run()
-    balance = back.core.limiter.tenants.tenants["ad"].bucket.balance
-    back.core.cancel(request)
-    back.run(20.0)
+        submit(harness)
+        harness.run()
+    client, request = submit(harness, units=3.0)
+    harness.run()
+    balance = harness.core.limiter.tenants.tenants["ad"].bucket.balance
+    harness.core.cancel(request)
+    harness.run(20.0)
     assert not client.answers
-    assert back.core.limiter.tenants.tenants["ad"].bucket.balance >= balance
-    assert not any(ident == str(request.request_id) for ident, _ in back.sent_attempts)
+    assert harness.core.limiter.tenants.tenants["ad"].bucket.balance >= balance
+    assert not any(request_id == str(request.request_id) for request_id, _ in harness.sent_attempts)
 
 
 def test_middleware_uses_the_same_admission_queue() -> None:
-    async def story() -> None:
-        now = [1e6]
-        host = Host(replace(SITE_ONE, limiter_count=3), 1, None, lambda: now[0], door=ONE)
-        seen: list[int] = []
+    async def scenario() -> None:
+        clock_ms = [1e6]
+        host = Host(replace(NO_COUNTER, limiter_count=3), 1, None, lambda: clock_ms[0], door=ONE_IN_FLIGHT)
+        app_calls: list[int] = []
 
         async def app(scope: Any, receive: Any, send: Any) -> None:
-            seen.append(1)
+            app_calls.append(1)
             await send({"type": "http.response.start", "status": 200, "headers": []})
             await send({"type": "http.response.body", "body": b""})
 
-        async def one() -> None:
+        async def send_request() -> None:
             headers = [(name.encode(), value.encode()) for name, value in HEADERS.items()]
             scope = {"type": "http", "headers": headers, "client": ("127.0.0.9", 1)}
 
@@ -185,77 +189,80 @@
 
             await LimiterMiddleware(app, host, KINDS, PLANS)(scope, receive, send)
 
-        asked = [asyncio.ensure_future(one()) for _ in range(4)]
+        tasks = [asyncio.ensure_future(send_request()) for _ in range(4)]
         for _ in range(20):
             await asyncio.sleep(0)
         adapter = host.core.queue_adapter
         assert adapter is not None
         assert adapter.queue.queued.by_id
-        assert len(seen) < 4
+        assert len(app_calls) < 4
         for _ in range(100):
-            now[0] += 10.0
+            clock_ms[0] += 10.0
             host.core.turn()
             await asyncio.sleep(0)
-        await asyncio.gather(*asked)
-        assert len(seen) == 4
+        await asyncio.gather(*tasks)
+        assert len(app_calls) == 4
 
-    asyncio.run(asyncio.wait_for(story(), 30))
+    asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-def test_rejections_for_quota_get_one_retry_after_time_after_another() -> None:
-    back = Backside(
-        replace(SITE_ONE, max_retry_after_ms=60_000.0), door=AdmissionQueueSettings(plan_rates=(4.0,))
+def test_rejections_because_of_the_quota_get_retry_after_times_spaced_by_its_rate() -> None:
+    harness = Backside(
+        replace(NO_COUNTER, max_retry_after_ms=60_000.0), door=AdmissionQueueSettings(plan_rates=(4.0,))
     )
-    clients: list[Client] = [ask(back, units=2.0)[0] for _ in range(40)]
-    back.run()
+    clients: list[RecordingClient] = [submit(harness, units=2.0)[0] for _ in range(40)]
+    harness.run()
     answers = [answer for client in clients for answer in client.answers]
-    told = sorted(wait for verdict, wait in answers if verdict is Verdict.REJECTED)
-    assert len(told) > 10
-    gaps = [after - before for before, after in pairwise(told)]
-    assert min(gaps) >= 499.0  # 2 units at 4 a second
+    waits_ms = sorted(wait for verdict, wait in answers if verdict is Verdict.REJECTED)
+    assert len(waits_ms) > 10
+    gaps = [after - before for before, after in pairwise(waits_ms)]
+    assert min(gaps) >= 499.0  # 2 units at 4 per second
 
 
-# What the limiter remembers
+# State of tenants
 
 
 def test_evicted_tenants_leave_a_record_and_get_no_fresh_burst() -> None:
-    d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
-    for _ in range(6):  # ada uses all that she has
-        d.ask(sharing_limiters=1)
-        d.give(io_ended(d.sends()[-1]))
-    left = d.limiter.tenants.tenants["ada"].bucket.balance
-    assert left <= 0.0
+    driver = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
+    for _ in range(6):  # ada uses up its balance
+        driver.ask(sharing_limiters=1)
+        driver.give(attempt_succeeded(driver.sends()[-1]))
+    balance = driver.limiter.tenants.tenants["ada"].bucket.balance
+    assert balance <= 0.0
     for number in range(MAX_TENANTS + 500):
-        ident = d.ask(f"c{number}", units=0.5, sharing_limiters=1)
-        sent = [s for s in d.sends()[-1:] if s.request_id == ident]
+        request_id = driver.ask(f"c{number}", units=0.5, sharing_limiters=1)
+        sent = [s for s in driver.sends()[-1:] if s.request_id == request_id]
         if sent:
-            d.give(io_ended(sent[0]))
-    assert len(d.limiter.tenants.tenants) <= MAX_TENANTS + 8
-    assert "ada" not in d.limiter.tenants.tenants
-    assert d.limiter.tenants.knows("ada")
-    d.ask("ada", sharing_limiters=1)
-    assert d.limiter.tenants.tenants["ada"].bucket.balance < 2.0  # what the rate brought meanwhile, no burst
-    for send in d.sends()[-1:]:
-        d.give(io_ended(send))
-    d.wait(30_000.0)
-    assert not d.limiter.tenants.tenants
-    assert not d.limiter.tenants.records.tables
-
-
-def io_ended(send: Any) -> Any:
+            driver.give(attempt_succeeded(sent[0]))
+    assert len(driver.limiter.tenants.tenants) <= MAX_TENANTS + 8
+    assert "ada" not in driver.limiter.tenants.tenants
+    assert driver.limiter.tenants.knows("ada")
+    driver.ask("ada", sharing_limiters=1)
+    assert driver.limiter.tenants.tenants["ada"].bucket.balance < 2.0  # the refill since then, no burst
+    for send in driver.sends()[-1:]:
+        driver.give(attempt_succeeded(send))
+    driver.wait(30_000.0)
+    assert not driver.limiter.tenants.tenants
+    assert not driver.limiter.tenants.records.tables
+
+
+def attempt_succeeded(send: Any) -> Any:
     from scalelb.policy.events import AttemptEnded, Outcome
 
     return AttemptEnded(send.request_id, 0, send.endpoint, Outcome.OK, 100.0, True)
 
 
-def test_housekeeping_visits_are_bounded_per_turn() -> None:
-    d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
+def test_number_of_tenants_visited_by_housekeeping_is_bounded_per_turn() -> None:
+    driver = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
     for number in range(3 * VISITED_TENANTS):
-        d.ask(f"c{number}", units=0.5, sharing_limiters=1)
+        driver.ask(f"c{number}", units=0.5, sharing_limiters=1)
     visited: list[int] = []
-    part = d.limiter._keep_house
-    d.limiter._keep_house = lambda now: (part(now), visited.append(len(d.limiter.housekeeper.unvisited)))[0]  # type: ignore
-    d.wait(1100.0)
+    keep_house = driver.limiter._keep_house
+    driver.limiter._keep_house = lambda now: (  # type: ignore
+        keep_house(now),
+        visited.append(len(driver.limiter.housekeeper.unvisited)),  # type: ignore
+    )[0]
+    driver.wait(1100.0)
     assert visited[:3] == [2 * VISITED_TENANTS, VISITED_TENANTS, 0]
 
 
@@ -263,7 +270,7 @@
 
 
 @pytest.mark.parametrize(
-    ("options", "words"),
+    ("options", "message"),
     [
         ({"weights": {"basic": 0.0}}, "weights.basic: must be above 0"),
         ({"weights": {"basic": float("nan")}}, "weights.basic: must be a number"),
@@ -279,14 +286,14 @@
         ({"door": 1}, "door: must be an object"),
     ],
 )
-def test_faulty_settings_are_named_by_their_key(options: dict[str, Any], words: str) -> None:
-    with pytest.raises(ConfigError, match=words):
+def test_faulty_settings_are_reported_by_their_key(options: dict[str, Any], message: str) -> None:
+    with pytest.raises(ConfigError, match=message):
         read_admission_queue(options, SITE, ("basic",))
 
 
 def test_admission_queue_is_off_unless_turned_on() -> None:
     assert read_admission_queue({}, SITE, ("basic",)) is None
-    door = read_admission_queue({"door": {"on": True}, "weights": {"basic": 2.0}}, SITE, ("basic",))
-    assert door is not None
-    assert door.weights == (2.0,)
-    assert door.reserve
+    queue_settings = read_admission_queue({"door": {"on": True}, "weights": {"basic": 2.0}}, SITE, ("basic",))
+    assert queue_settings is not None
+    assert queue_settings.weights == (2.0,)
+    assert queue_settings.reserve
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -13,7 +13,7 @@
 NAMES = st.sampled_from("abcd")
 UNITS = st.sampled_from([1.0, 2.0, 6.0])
 WEIGHTS = {"a": 1.0, "b": 1.0, "c": 2.0, "d": 0.5}
-OPS = st.one_of(
+OPERATIONS = st.one_of(
     st.tuples(st.just("push"), NAMES, UNITS),
     st.tuples(st.just("pop"), st.none(), st.none()),
     st.tuples(st.just("remove"), st.integers(0, 50), st.none()),
@@ -21,30 +21,32 @@
 )
 
 
-@given(st.lists(OPS, max_size=120))
-def test_fair_queue_returns_what_was_pushed_and_is_work_conserving(ops: list[tuple[str, Any, Any]]) -> None:
+@given(st.lists(OPERATIONS, max_size=120))
+def test_fair_queue_returns_all_pushed_entries_and_is_work_conserving(
+    operations: list[tuple[str, Any, Any]],
+) -> None:
     queue: FairQueue[int] = FairQueue()
-    waiting: dict[int, Any] = {}
+    queued: dict[int, Any] = {}
     paused: set[str] = set()
-    for number, (what, one, units) in enumerate(ops):
-        if what == "push":
-            waiting[number] = queue.push(one, WEIGHTS[one], units, number)
-        elif what == "remove" and waiting:
-            found = list(waiting)[one % len(waiting)]
-            queue.remove(waiting.pop(found))
-        elif what in ("pause", "resume") and one in queue.flows:
-            (queue.pause if what == "pause" else queue.resume)(one)
-        elif what == "pop":
+    for number, (operation, argument, units) in enumerate(operations):
+        if operation == "push":
+            queued[number] = queue.push(argument, WEIGHTS[argument], units, number)
+        elif operation == "remove" and queued:
+            removed = list(queued)[argument % len(queued)]
+            queue.remove(queued.pop(removed))
+        elif operation in ("pause", "resume") and argument in queue.flows:
+            (queue.pause if operation == "pause" else queue.resume)(argument)
+        elif operation == "pop":
             entry = queue.pop()
-            open_flows = {e.flow.name for e in waiting.values()} - paused
-            assert (entry is None) == (not open_flows), "work conservation"
+            eligible_flows = {e.flow.name for e in queued.values()} - paused
+            assert (entry is None) == (not eligible_flows), "work conservation"
             if entry is not None:
-                assert waiting.pop(entry.item) is entry
+                assert queued.pop(entry.item) is entry
         paused = {name for name, flow in queue.flows.items() if flow.is_paused}
-        assert len(queue) == len(waiting)
-        assert queue.queued_units == pytest.approx(sum(e.units for e in waiting.values()))
+        assert len(queue) == len(queued)
+        assert queue.queued_units == pytest.approx(sum(e.units for e in queued.values()))
         assert queue.total_weight == pytest.approx(sum(WEIGHTS[name] for name in queue.flows))
-        assert {e.item for e in queue} == set(waiting)
+        assert {e.item for e in queue} == set(queued)
 
 
 @given(
@@ -53,17 +55,18 @@
     st.sampled_from([0.5, 1.0, 3.0]),
     st.integers(0, 40),
 )
-def test_two_backlogged_flows_differ_by_at_most_one_request_each(
-    first: list[float], second: list[float], weight: float, idle: int
+def test_service_of_two_backlogged_flows_differs_by_at_most_one_request_each(
+    first_units: list[float], second_units: list[float], weight: float, idle_count: int
 ) -> None:
-    # The bound of start-time fair queuing: largest request over weight, of both.  `second` comes late: what
-    # it did not use before is neither saved for it nor queued against it.
+    # The bound of start-time fair queuing is the sum, over both flows, of the largest request over the
+    # weight.  The second flow starts later: it gets neither credit nor charge for the time in which it was
+    # idle.
     queue: FairQueue[int] = FairQueue()
-    for number, units in enumerate(first):
+    for number, units in enumerate(first_units):
         queue.push("a", 1.0, units, number)
-    for _ in range(idle):
+    for _ in range(idle_count):
         queue.pop()
-    for number, units in enumerate(second):
+    for number, units in enumerate(second_units):
         queue.push("b", weight, units, number)
     served = {"a": 0.0, "b": 0.0}
     while len(queue.flows) == 2:
@@ -87,19 +90,19 @@
     assert served["large"] == pytest.approx(served["small"], abs=6.0)
 
 
-def test_lower_rank_goes_first_within_a_flow_and_the_newest_entry_is_last() -> None:
+def test_lower_rank_is_served_first_within_a_flow_and_newest_entry_is_the_last_pushed() -> None:
     queue: FairQueue[str] = FairQueue()
-    for name, rank in (("cheap", -2.0), ("dear", -6.0), ("cheaper", -1.0)):
+    for name, rank in (("medium", -2.0), ("important", -6.0), ("minor", -1.0)):
         queue.push("a", 1.0, 1.0, name, rank)
-    longest = queue.longest_flow()
-    assert longest is not None
-    assert queue.newest_entry(longest).item == "cheaper"
-    assert [queue.pop().item for _ in range(3)] == ["dear", "cheap", "cheaper"]  # type: ignore[union-attr]
+    longest_flow = queue.longest_flow()
+    assert longest_flow is not None
+    assert queue.newest_entry(longest_flow).item == "minor"
+    assert [queue.pop().item for _ in range(3)] == ["important", "medium", "minor"]  # type: ignore[union-attr]
 
 
-def test_fair_queue_keeps_nothing_of_cancelled_and_served_flows() -> None:
+def test_memory_of_cancelled_and_served_flows_is_released() -> None:
     queue: FairQueue[int] = FairQueue()
-    for number in range(20_000):  # each under a name of its own, cancelled or served
+    for number in range(20_000):  # each request has a flow of its own and is cancelled or served
         entry = queue.push(f"n{number}", 1.0, 6.0, number)
         if number % 2:
             queue.remove(entry)
@@ -108,10 +111,10 @@
         queue.charge_unqueued(f"m{number}", 1.0, 6.0)
     assert not queue.flows
     assert not queue.queued_units
-    kept = (
+    sizes = (
         len(queue.flows_by_start_tag),
         len(queue.flows_by_backlog),
         len(queue.finish_tag_heap),
         len(queue.finish_tags),
     )
-    assert max(kept) <= 2 * MAX_FINISH_TAGS + 64
+    assert max(sizes) <= 2 * MAX_FINISH_TAGS + 64
--- a/tests/test_rate_meter.py
+++ b/tests/test_rate_meter.py
@@ -9,7 +9,7 @@
 from scalelb.admission_queue.rate_meter import DecayingMean, RateMeter
 
 
-def test_rate_meter_is_right_from_its_first_events_on_and_decays() -> None:
+def test_rate_meter_is_accurate_from_its_first_events_on_and_decays() -> None:
     meter, mean = RateMeter(5000.0, 0.0), DecayingMean(5000.0)
     for step in range(1, 201):
         meter.add(step * 10.0, 1.0)
