--- a/scalelb/core/incoming_request.py
+++ b/scalelb/core/incoming_request.py
@@ -11,8 +11,7 @@
 class IncomingRequest(NamedTuple):
     """A client's request.  `Core.submit` checks the values.
 
-    It is a named tuple because one is created for each request, which takes a third of the time that a frozen
-    dataclass takes."""
+    It is a named tuple, as one is created for each request: a frozen dataclass takes three times as long."""
 
     tenant: str
     plan_index: int
--- a/scalelb/core/limits.py
+++ b/scalelb/core/limits.py
@@ -10,7 +10,7 @@
     """Bounds on open requests and deadlines."""
 
     max_open_requests: int = 4096
-    answer_margin_ms: float = 12.0  # the client must get an answer before it gives up: it is due this early
+    answer_margin_ms: float = 12.0  # answers are due this long before the client gives up, to arrive in time
     client_transit_ms: float = 1.0  # assumed time that a request took from the client to here
     max_deadline_multiple: float = 2.0  # longest deadline of a request, as a multiple of that of its class
 
--- a/scalelb/core/request_table.py
+++ b/scalelb/core/request_table.py
@@ -48,7 +48,7 @@
         self.begin_before = inf  # the first byte of the attempt must be written before this time
         self.in_flight = False  # whether an attempt is in flight
         self.sent_at = 0.0  # when the latest attempt was sent
-        self.first_byte_at = 0.0  # when the first byte of a response in streaming was sent; 0: no stream
+        self.first_byte_at = 0.0  # when the first byte of a streamed response was sent; 0: no stream
         self.endpoint = ""  # endpoint of the latest attempt
         self.attempt_handle: Any = None  # opaque to the core; set by the upstream side during an attempt
         self.is_finished = False  # answered or cancelled
--- a/tests/test_contained_faults.py
+++ b/tests/test_contained_faults.py
@@ -108,7 +108,7 @@
     for name in ("a", "z"):
         assert [verdicts(client) for client in clients[name]] == [[Verdict.SERVED]] * 2
     assert [verdicts(client) for client in clients["odd"]] == [[Verdict.SERVED], [Verdict.FAILED]]
-    assert [type(error) for error in harness.faults] == [InjectedFaultError]  # raised only once
+    assert [type(error) for error in harness.faults] == [InjectedFaultError]  # once: its queue is empty then
 
 
 def test_housekeeping_visits_the_other_tenants_and_continues(monkeypatch: pytest.MonkeyPatch) -> None:
