--- a/scalelb/policy/limiter.py
+++ b/scalelb/policy/limiter.py
@@ -1,10 +1,10 @@
-"""One limiter: events in (`scalelb/policy/events.py`), actions out (`actions.py` there).
+"""One limiter: maps events (`scalelb/policy/events.py`) to actions (`scalelb/policy/actions.py`).
 
-`_on_request_arrived` rejects, queues or sends; the scheduling cycle sends what is queued;
-`_on_attempt_ended` settles, and retries or answers; `_on_counter_replied` grants leases. Each rule is in a
-module of its own: `admission`, `queue_times`, `counter_lease`, `attempt_sender`, `endpoint_selection`,
-`slow_start`, `retry`, `retry_after`, `load_feedback`, `housekeeping`. The design follows Gage; changes and
-reasons are in `docs/design.md`.
+`_on_request_arrived` rejects, queues or sends a request; the scheduling cycle sends queued requests;
+`_on_attempt_ended` settles the charge, and retries the request or answers it; `_on_counter_replied` grants
+leases. Each rule has its own module: `admission`, `queue_times`, `counter_lease`, `attempt_sender`,
+`endpoint_selection`, `slow_start`, `retry`, `retry_after`, `load_feedback`, `housekeeping`. The design
+follows Gage; `docs/design.md` describes the differences and the reasons for them.
 """
 
 from __future__ import annotations
@@ -59,20 +59,21 @@
 
 SCHEDULING_TIMER = 1
 HOUSEKEEPING_TIMER = 2
-LOW_LATENCY_RATIO = 0.15  # of the shortest objective: below it the endpoints have capacity to spare
+# Endpoints have spare capacity while the usual latency is below this ratio of the shortest latency objective.
+LOW_LATENCY_RATIO = 0.15
 
 
 class Limiter:
-    """Decides for one limiter: `handle` takes each event and returns what to do about it, in order."""
+    """Makes the decisions of one limiter: `handle` takes an event and returns the resulting actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         rng = random.Random(seed)
         self.settings = settings
         self.shortest_objective_ms = min(kind.latency_objective_ms for kind in settings.request_classes)
         self.class_precedences = settings.class_precedences()
-        self.started_at = -1.0  # ms; below 0: not yet
+        self.started_at = -1.0  # ms; negative before the first event
         self.outbox = Outbox()
-        self.faults: list[Exception] = []  # while this event is handled
+        self.faults: list[Exception] = []  # raised while the current event is handled
 
         mean_units = shared_counter.initial_mean_units(settings)
         self.estimates = RunningEstimates(self.shortest_objective_ms, mean_units)
@@ -110,9 +111,10 @@
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event at `now` (ms); return the actions that it calls for, in order.
+        """Handle one event at `now` (ms) and return the resulting actions in order.
 
-        Raises `DecisionFaultError` where something failed, with the actions that are to be carried out."""
+        Raises `DecisionFaultError` if part of the handling failed; it holds the actions to carry out.
+        """
         self.outbox.clear()
         self.faults.clear()
         if self.started_at < 0:
@@ -121,7 +123,7 @@
         try:
             if handler is not None:
                 handler(now, event)
-        except Exception as error:  # it must cost neither the timers nor the other events
+        except Exception as error:  # one fault must not lose the timers or other events
             self.faults.append(error)
             if isinstance(event, RequestArrived | AttemptEnded | RequestCancelled):
                 self._fail_after_fault(event.request_id)
@@ -134,9 +136,10 @@
         return self.outbox.actions
 
     def handle_all(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Take all events that have come in by `now` (ms); return the actions in the order of the events.
+        """Handle all events received by `now` (ms) and return their actions in the order of the events.
 
-        Raises `DecisionFaultError` as `handle` does, once all events are handled."""
+        Raises `DecisionFaultError` like `handle`, but only after all events have been handled.
+        """
         actions: list[Action] = []
         errors: list[Exception] = []
         for event in events:
@@ -150,7 +153,7 @@
         return actions
 
     def _fail_after_fault(self, request_id: int) -> None:
-        """Give up a request whose state may be half changed, before anything is sent for it."""
+        """Fail a request whose state may be only partly updated, ahead of all other actions."""
         request = self.requests.pop(request_id, None)
         if request is not None:
             request.tenant.queue.remove(request)
@@ -161,9 +164,13 @@
             self.outbox.add(SetTimer(tag, delay_ms))
 
     def available_units(self, tenant_name: str, now: float) -> tuple[float, float] | None:
-        """Return what the admission queue goes by: the units on hand here less those queued, with this
-        limiter's part of what the counter said is left; and its part of the rate (units/s).  `None` for a
-        tenant that is not known or has no quota."""
+        """Return the units available to a tenant and this limiter's share of its rate (units/s), for the
+        admission queue.
+
+        The available units are the balance and the greater of the lease and this limiter's share of what the
+        counter last reported, minus the queued units. Returns `None` for an unknown tenant or one without a
+        quota.
+        """
         tenant = self.tenants.tenants.get(tenant_name)
         if tenant is None or not tenant.bucket.plan.rate_per_s:
             return None
@@ -172,34 +179,34 @@
         units = bucket.balance + max(bucket.leased, available) - tenant.queue.units
         return units, bucket.plan.rate_per_s / bucket.sharing_limiters
 
-    # A request arrives, and waits in its tenant's queue
+    # Request arrival and queueing
 
     def _on_request_arrived(self, now: float, event: RequestArrived) -> None:
         request_class = self.settings.request_classes[event.class_index]
         precedence = self.class_precedences[event.class_index]
-        tenant = self._tenant_of(now, event)
+        tenant = self._find_or_create_tenant(now, event)
         age_ms = self.retry_ages.age_ms(event, request_class)
         request = Request.from_event(event, tenant, request_class, now, age_ms, precedence)
         self.requests[event.request_id] = request
         left_ms = event.expires_in_ms + event.queued_ms
         is_retry = event.is_retry or left_ms < request_class.latency_objective_ms
-        # Retries are no demand: leases would else grow with clients that retry.
+        # Retries do not count as demand, otherwise client retries would inflate the leases.
         tenant.record_demand(now, 0.0 if is_retry else request.units)
         self._credit(tenant, now)
         latest_send_at = self.queue_times.latest_send_at(request)
         if self.shedder.sheds(precedence) or now > latest_send_at:
-            self._finish(request)
+            self._reject_or_fail(request)
             return
         is_sampled = self.quota.sample_for_counter(request, now, latest_send_at)
         if self.quota.is_rejected_unsampled(request, is_sampled):
-            self._finish(request)
+            self._reject_or_fail(request)
             return
-        if not self._is_sent_at_once(request, now):
+        if not self._try_send_at_once(request, now):
             self._enqueue(request, now)
             self._reject_overdue(tenant, now)
         self._renew_lease(tenant, now, is_sampled)
 
-    def _tenant_of(self, now: float, event: RequestArrived) -> Tenant:
+    def _find_or_create_tenant(self, now: float, event: RequestArrived) -> Tenant:
         tenant = self.tenants.find(event.tenant)
         if tenant is None:
             uptime_ms = now - self.started_at
@@ -208,7 +215,7 @@
                 self.housekeeper.evict(candidate, now)
         return tenant
 
-    def _is_sent_at_once(self, request: Request, now: float) -> bool:
+    def _try_send_at_once(self, request: Request, now: float) -> bool:
         if not request.tenant.queue.is_next(request) or self.quota.missing_units(request, now) > 0:
             return False
         return self.sender.send(request, now)
@@ -216,11 +223,11 @@
     def _enqueue(self, request: Request, now: float) -> None:
         tenant = request.tenant
         tenant.queue.insert(request)
-        self.scheduler.schedule(tenant, self.queue_times.next_look_at(request, now))
+        self.scheduler.schedule(tenant, self.queue_times.next_check_at(request, now))
 
     def _reject_overdue(self, tenant: Tenant, now: float) -> None:
         for request in self.queue_times.overdue_requests(tenant, now):
-            self._finish(request)
+            self._reject_or_fail(request)
 
     def _credit(self, tenant: Tenant, now: float) -> None:
         tenant.credit(now, self.leases.refills_itself())
@@ -228,11 +235,11 @@
     def _renew_lease(self, tenant: Tenant, now: float, has_demand: bool) -> None:
         self.outbox.add(self.leases.renew(tenant, now, has_demand))
 
-    # The scheduling cycle and housekeeping
+    # Scheduling cycle and housekeeping
 
     def _on_timer_fired(self, now: float, event: TimerFired) -> None:
         if event.tag == HOUSEKEEPING_TIMER:
-            self._keep_house(now)
+            self._housekeep(now)
         if event.tag == SCHEDULING_TIMER and self.scheduler.is_cycle_due(now):
             self._run_cycle(now)
 
@@ -240,33 +247,33 @@
         self.sender.has_no_capacity = False
         for tenant in self.scheduler.begin_cycle():
             if tenant.wake_at <= now:
-                self._look_at_safely(tenant, now)
+                self._process_tenant_safely(tenant, now)
             self.scheduler.reschedule(tenant)
         self.scheduler.rotate()
         self._lend_spare_units(now)
 
-    def _look_at_safely(self, tenant: Tenant, now: float) -> None:
-        """Look at a tenant; where that fails, give up what it has queued: the other tenants go on."""
+    def _process_tenant_safely(self, tenant: Tenant, now: float) -> None:
+        """Process a tenant; if that raises, fail its queued requests and go on with the other tenants."""
         try:
-            self._look_at(tenant, now)
+            self._process_tenant(tenant, now)
         except Exception as error:
             self.faults.append(error)
             for request in list(tenant.queue.requests):
                 self._fail_after_fault(request.request_id)
             tenant.wake_at = inf
 
-    def _look_at(self, tenant: Tenant, now: float) -> None:
-        """Credit a tenant, reject what is too late, send what is covered, and say when to look again."""
+    def _process_tenant(self, tenant: Tenant, now: float) -> None:
+        """Credit a tenant, reject its late requests, send the covered ones, and set its next `wake_at`."""
         self._credit(tenant, now)
         for request in [r for r in tenant.queue.requests if now > self.queue_times.latest_send_at(r)]:
-            self._finish(request)
-        self._send_covered(tenant, now)
+            self._reject_or_fail(request)
+        self._send_covered_requests(tenant, now)
         self._renew_lease(tenant, now, now - tenant.last_request_at <= IDLE_MS)
-        times = (self.queue_times.next_look_at(request, now) for request in tenant.queue.requests)
+        times = (self.queue_times.next_check_at(request, now) for request in tenant.queue.requests)
         tenant.wake_at = min(times, default=inf)
 
-    def _send_covered(self, tenant: Tenant, now: float) -> None:
-        """Send the queued requests from the first on, as far as the balance covers them."""
+    def _send_covered_requests(self, tenant: Tenant, now: float) -> None:
+        """Send queued requests in order, as long as the balance covers them."""
         queue = tenant.queue
         while queue.requests:
             request = queue.requests[0]
@@ -275,25 +282,28 @@
             queue.remove(request)
 
     def _lend_spare_units(self, now: float) -> None:
-        """Let queued requests of plans that gain beyond their quota use the spare units of other tenants,
-        while the endpoints have capacity to spare."""
+        """Let queued requests use the spare units of other tenants, if their plan gains from use beyond its
+        quota and the endpoints have spare capacity.
+        """
         if self.housekeeper.spare_units <= 0 or now - self.feedback.last_rejection_at < HOUSEKEEPING_MS:
             return
         if self.estimates.latency_ms > LOW_LATENCY_RATIO * self.shortest_objective_ms:
             return
         borrowers = [t for t in self.scheduler.active.values() if t.bucket.plan.gains_beyond_quota]
         for tenant in borrowers:
-            waited = [r for r in tenant.queue.requests if self.queue_times.has_waited_for_spare_units(r, now)]
-            if waited and self.sender.send(waited[0], now, is_charged=False):
-                self.housekeeper.spare_units -= waited[0].units
-                tenant.queue.remove(waited[0])
-
-    def _keep_house(self, now: float) -> None:
+            eligible = [
+                r for r in tenant.queue.requests if self.queue_times.has_waited_for_spare_units(r, now)
+            ]
+            if eligible and self.sender.send(eligible[0], now, is_charged=False):
+                self.housekeeper.spare_units -= eligible[0].units
+                tenant.queue.remove(eligible[0])
+
+    def _housekeep(self, now: float) -> None:
         self.housekeeper.is_timer_set = False
         if self.housekeeper.is_round_over():
             try:
                 self._update_each_round(now)
-            except Exception as error:  # the tenants are visited all the same
+            except Exception as error:  # the tenants are visited nevertheless
                 self.faults.append(error)
             self.housekeeper.begin_round()
         self.housekeeper.visit_slice(now)
@@ -304,7 +314,7 @@
         for timeout in self.leases.abandoned_calls(now):
             self._on_counter_replied(now, timeout)
 
-    # An attempt ends, a request ends
+    # End of an attempt or a request
 
     def _on_attempt_ended(self, now: float, event: AttemptEnded) -> None:
         attempt = self.attempts.pop((event.request_id, event.attempt_number), None)
@@ -326,14 +336,14 @@
         retry.record_execution(attempt, event.outcome)
         may_retry = self.retries.may_retry(request, event.outcome, self.shedder.admission_probability)
         if not may_retry or now > self.queue_times.latest_send_at(request):
-            self._finish(request)
+            self._reject_or_fail(request)
             return
         self.retries.spend(event.outcome)
         if not self.sender.send(request, now):
             self._enqueue(request, now)
 
-    def _finish(self, request: Request) -> None:
-        """Give the final answer: rejected where a retry by the client is provably harmless, else failed."""
+    def _reject_or_fail(self, request: Request) -> None:
+        """Give the final answer: rejected if a retry by the client is harmless, otherwise failed."""
         request.tenant.queue.remove(request)
         self.requests.pop(request.request_id, None)
         if not request.can_be_retried_by_client():
@@ -358,7 +368,7 @@
         if self.settings.cancels_attempts and (event.request_id, attempt_number) in self.attempts:
             self.outbox.add(CancelAttempt(event.request_id, attempt_number))
 
-    # The counter answers
+    # Counter replies
 
     def _on_counter_replied(self, now: float, event: CounterReplied) -> None:
         tenant = self.leases.end_call(event.counter_key)
@@ -374,6 +384,6 @@
             self.outbox.add(next_call)
             return
         if tenant.bucket.is_kept_on_counter:
-            self._send_covered(tenant, now)
+            self._send_covered_requests(tenant, now)
             self._reject_overdue(tenant, now)
             self._renew_lease(tenant, now, has_demand=False)
--- a/scalelb/policy/load_feedback.py
+++ b/scalelb/policy/load_feedback.py
@@ -1,4 +1,4 @@
-"""What an attempt's outcome tells of its endpoint, of the load on all endpoints, and of usual latencies."""
+"""Feedback from attempts: updates endpoint health, load control and latency estimates with each outcome."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from scalelb.policy.retry_budget import RetryBudget
 from scalelb.policy.running_estimates import RunningEstimates
 
-TENANT_UNITS_GAIN = 0.1  # weight of the newest true cost in a tenant's mean units
+TENANT_UNITS_GAIN = 0.1  # weight of the newest true units in a tenant's mean units
 
 
 class LoadFeedback:
-    """Passes each outcome on to all that learn from it."""
+    """Passes each outcome to all components that adapt to it."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self.last_rejection_at = -inf  # ms; when an endpoint last rejected an attempt
 
     def record(self, attempt: Attempt, event: AttemptEnded, now: float, in_flight: int) -> None:
-        """Record the outcome of an attempt at `now` (ms), while `in_flight` others are in flight."""
+        """Record the outcome of an attempt at `now` (ms), while `in_flight` other attempts are in flight."""
         outcome = event.outcome
         if outcome in (Outcome.NOT_SENT, Outcome.CANCELLED):
             return
@@ -52,7 +52,7 @@
         self.estimates.record_answer_time(now)
         memory_ms = fault_memory_ms(self.estimates.answer_interval_ms, len(self.selector.endpoints))
         tracked.record_outcome(now, outcome, latency_ms, self.estimates.latency_ms, memory_ms)
-        # An endpoint in slow start is slow without any load: its answers tell nothing of the load.
+        # An endpoint in slow start is slow even without load, so its answers are no signal of the load.
         if outcome in LOAD_SIGNALS and tracked.is_warm():
             is_late = outcome is Outcome.REJECTED or event.elapsed_ms >= LATE_ANSWER_RATIO * objective_ms
             self.shedder.on_answer(is_late)
@@ -64,7 +64,7 @@
         tracked.adapt_concurrency_limit(now, is_good, event.elapsed_ms, objective_ms)
 
     def settle(self, request: Request, true_units: float) -> None:
-        """Replace the estimated units of a request by the true ones."""
+        """Replace the estimated units of a request by its true units."""
         bucket = request.tenant.bucket
         bucket.mean_units += TENANT_UNITS_GAIN * (true_units - bucket.mean_units)
         self.estimates.record_units(true_units)
--- a/scalelb/policy/outbox.py
+++ b/scalelb/policy/outbox.py
@@ -1,4 +1,4 @@
-"""The actions that an event calls for, collected in order."""
+"""Collects the actions that result from an event, in order."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outbox:
-    """Collects the actions of one event; all parts of a limiter add to it."""
+    """The actions of the current event; all components of a limiter add to it."""
 
     __slots__ = ("actions",)
 
@@ -14,14 +14,14 @@
         self.actions: list[Action] = []
 
     def clear(self) -> None:
-        """Begin a new list: the one before belongs to whoever was given it."""
+        """Start a new list, as the caller of the previous event owns the old one."""
         self.actions = []
 
     def add_first(self, action: Action) -> None:
-        """Add an action that is to be carried out before all others."""
+        """Add an action to carry out before all others."""
         self.actions.insert(0, action)
 
     def add(self, action: Action | None) -> None:
-        """Add an action, if there is one."""
+        """Add an action; `None` is ignored."""
         if action is not None:
             self.actions.append(action)
--- a/scalelb/policy/queue_times.py
+++ b/scalelb/policy/queue_times.py
@@ -1,4 +1,4 @@
-"""Until when a queued request can be sent in time, and when to look at it again."""
+"""Time limits of queued requests: the latest time to send one, and when to check it again."""
 
 from __future__ import annotations
 
@@ -11,13 +11,16 @@
 from scalelb.policy.tenant import Tenant
 from scalelb.policy.token_bucket import UNITS_TOLERANCE
 
-TIME_LEFT_LATENCY_FACTOR = 1.5  # usual latencies that must be left of the objective when a request is sent,
-MAX_TIME_LEFT_RATIO = 0.6  # but at most this part of the objective
-SPARE_WAIT_RATIO = 0.1  # of the objective: a wait after which spare units of other tenants may be used
+# A request is sent only while at least this many usual latencies of its latency objective are left.
+TIME_LEFT_LATENCY_FACTOR = 1.5
+# Upper bound of that time, as a ratio of the latency objective.
+MAX_TIME_LEFT_RATIO = 0.6
+# Wait after which a request may use spare units of other tenants, as a ratio of the latency objective.
+SPARE_WAIT_RATIO = 0.1
 
 
 class QueueTimes:
-    """The times that the requests of one limiter have, in ms."""
+    """Computes the time limits of the requests of one limiter, in ms."""
 
     def __init__(self, estimates: RunningEstimates, leases: CounterLeases, quota: QuotaCheck) -> None:
         self.estimates = estimates
@@ -25,22 +28,24 @@
         self.quota = quota
 
     def needed_time_ms(self, request_class: RequestClass) -> float:
-        """Return the time of the latency objective that must be left when a request is sent."""
+        """Return how much of the latency objective must be left when a request is sent."""
         usual_ms = TIME_LEFT_LATENCY_FACTOR * self.estimates.latency_ms
         return min(usual_ms, MAX_TIME_LEFT_RATIO * request_class.latency_objective_ms)
 
     def latest_send_at(self, request: Request) -> float:
-        """Return the time after which an attempt would come too late or must not begin any more."""
+        """Return the latest time at which an attempt would still end in time and may still begin."""
         needed_ms = self.needed_time_ms(request.request_class)
         return min(request.due_at - needed_ms, request.must_retry_before)
 
     def has_waited_for_spare_units(self, request: Request, now: float) -> bool:
-        """Whether a request has waited for long enough to use the spare units of other tenants."""
+        """Whether a request has waited long enough to use the spare units of other tenants."""
         return now - request.arrived_at > SPARE_WAIT_RATIO * request.request_class.latency_objective_ms
 
     def overdue_requests(self, tenant: Tenant, now: float) -> list[Request]:
-        """Return the queued requests that neither the balance nor the concurrency limit lets be sent in time,
-        with what is queued ahead of them.  Retries are never among them."""
+        """Return the queued requests that can't be sent in time, given the requests queued ahead of them.
+
+        Either the balance or the tenant's concurrency limit delays them too long. Retries are never included.
+        """
         bucket = tenant.bucket
         units_ahead = 0.0
         if not bucket.is_kept_on_counter:
@@ -62,16 +67,16 @@
         wait_ms = self._concurrency_wait_ms(request.tenant, attempts_ahead)
         if now + wait_ms > self.latest_send_at(request):
             return True
-        if request.tenant.bucket.plan.rate_per_s <= 0 or units_ahead <= self._units_in_time(request, now):
+        if request.tenant.bucket.plan.rate_per_s <= 0 or units_ahead <= self._max_units_ahead(request, now):
             return False
         return not self.quota.is_charged_elsewhere(request, now)
 
-    def _units_in_time(self, request: Request, now: float) -> float:
-        """Return the units that may be used ahead of a request, so that it can still be sent in time.
+    def _max_units_ahead(self, request: Request, now: float) -> float:
+        """Return how many units may be used ahead of a request that can still be sent in time.
 
-        Of a bucket that is leased from: what its whole rate brings in the longest wait, also while the
-        counter is unavailable. Of one kept on the counter: what its last answer leaves, or this limiter's
-        share of the rate once the counter has been unavailable for long.
+        For a bucket that limiters lease from, this is the refill at its whole rate during the longest wait,
+        even while the counter is unavailable. For a bucket kept on the counter, it is what the last answer of
+        the counter leaves, or this limiter's share of the rate after a long outage of the counter.
         """
         bucket = request.tenant.bucket
         if not bucket.is_kept_on_counter:
@@ -83,20 +88,20 @@
         return bucket.obtainable_until(latest_at) - request.units + UNITS_TOLERANCE
 
     def _concurrency_wait_ms(self, tenant: Tenant, attempts_ahead: int) -> float:
-        """Return how long a request waits for the tenant's concurrency limit, with so many ahead of it."""
+        """Return how long the tenant's concurrency limit delays a request behind so many attempts."""
         limit = tenant.max_concurrent_attempts
         if not limit:
             return 0.0
         return self.estimates.latency_ms * (attempts_ahead + 1 - limit) / limit
 
-    def next_look_at(self, request: Request, now: float) -> float:
-        """Return when a queued request is to be looked at again, unless an answer comes first."""
+    def next_check_at(self, request: Request, now: float) -> float:
+        """Return when to check a queued request again, unless an answer arrives earlier."""
         missing = self.quota.missing_units(request, now)
         if missing <= 0:
             return now
         tenant = request.tenant
         bucket = tenant.bucket
-        rate_per_ms = max(bucket.plan.rate_per_s / 1000, 1e-9)  # a plan may have a concurrency limit only
+        rate_per_ms = max(bucket.plan.rate_per_s / 1000, 1e-9)  # a plan may have only a concurrency limit
         times = [
             self.latest_send_at(request),
             self.leases.next_call_due_at(tenant, now, missing, SCHEDULING_CYCLE_MS),
--- a/scalelb/policy/request.py
+++ b/scalelb/policy/request.py
@@ -1,4 +1,4 @@
-"""A client's request that is owed an answer, and its attempts."""
+"""A client's request without a final answer yet, and its attempts."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request that is owed an answer."""
+    """A request without a final answer yet."""
 
     request_id: int
     tenant: Tenant
     request_class: RequestClass
     units: float
-    due_at: float  # ms; an answer after this time is worth less
+    due_at: float  # ms; a later answer has less value
     arrived_at: float  # ms
     rank: tuple[float, float]  # order in its tenant's queue: class precedence, then fewest units
     attempts_sent: int = 0
-    must_wait_for_counter: bool = False  # it may not overdraw the balance
+    must_wait_for_counter: bool = False  # must not overdraw the balance
     charged_units: float = 0.0
     last_endpoint: str = ""
-    may_have_executed: bool = False  # an attempt may have been executed
-    executed_at: float = 0.0  # ms; when the first such attempt was sent
+    may_have_executed: bool = False  # whether an endpoint may have executed an attempt
+    executed_at: float = 0.0  # ms; when the first attempt that may have executed was sent
     executed_on: Endpoint | None = None
-    listener_bit: int = 0  # which of the limiter's front ends it came through
+    listener_bit: int = 0  # bit of the front end of the limiter that received it
     idempotency_key: str = ""
-    is_admission_only: bool = False  # whoever asks does the forwarding
+    is_admission_only: bool = False  # the caller forwards it
 
     @classmethod
     def from_event(
@@ -47,11 +47,12 @@
         age_ms: float,
         precedence: float,
     ) -> Request:
-        """Return the record of a request that arrives now (ms), first sent by its client `age_ms` ago.
+        """Return the record of a request that arrives at `now` (ms), first sent by its client `age_ms` ago.
 
-        Among requests of one precedence fewer units go first: the balance covers them sooner, and a unit
-        earns the same whichever request uses it. Where limiters share one bucket on the counter, each is
-        granted its own units, and those of one that is overtaken would cover no other.
+        Among requests of the same precedence, those with fewer units go first: the balance covers them
+        sooner, and each unit earns the same in any request. This does not apply if limiters share a bucket on
+        the counter: there, each request is granted its own units, and the units of one that is overtaken
+        would not cover another request.
         """
         units = event.units or tenant.bucket.mean_units
         objective_left_ms = request_class.latency_objective_ms - event.queued_ms - age_ms
@@ -73,8 +74,11 @@
 
     @property
     def must_retry_before(self) -> float:
-        """The time (ms) before which a further attempt has to begin: any time while nothing was executed or
-        the request is idempotent, never once one that is not idempotent may have been executed."""
+        """The time (ms) before which a further attempt must begin.
+
+        It is unlimited while no attempt may have executed and for idempotent requests. A request that is not
+        idempotent must not be retried after an attempt may have executed.
+        """
         if not self.may_have_executed:
             return inf
         idempotency = self.request_class.idempotency
@@ -95,5 +99,5 @@
 
     request: Request
     endpoint: TrackedEndpoint
-    load: float  # in mean requests
+    load: float  # in units of a mean request
     sent_at: float  # ms
--- a/scalelb/policy/retry.py
+++ b/scalelb/policy/retry.py
@@ -1,4 +1,4 @@
-"""Retries: whether a failed attempt is followed by another one, on which endpoints, and until when."""
+"""Retry policy: whether a failed attempt is retried, on which endpoints, and until when."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 from scalelb.policy.retry_budget import RetryBudget
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Settings
 
-TIMEOUT_OBJECTIVE_RATIO = 0.5  # an attempt that can be retried is given up after this part of the objective,
-TIMEOUT_LATENCY_FACTOR = 4.0  # or this many times the usual latency, if that is longer
+# Timeout of an attempt that can be retried, as a ratio of the latency objective.
+TIMEOUT_OBJECTIVE_RATIO = 0.5
+# Minimum of that timeout, in usual latencies.
+TIMEOUT_LATENCY_FACTOR = 4.0
 
 
 class RetryPolicy:
-    """Decides on the retries of one limiter."""
+    """Decides about the retries of one limiter."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.max_attempts = settings.max_attempts
@@ -25,8 +27,10 @@
         self.budget = RetryBudget(settings.limiter_count)
 
     def attempt_timeout_ms(self, request: Request, now: float, usual_latency_ms: float) -> float:
-        """Return how long to wait for an attempt; 0: until the client's deadline, where no further attempt is
-        possible or could still be in time."""
+        """Return the timeout (ms) of an attempt.
+
+        0 means the client's deadline, as no further attempt is possible or could still end in time.
+        """
         request_class = request.request_class
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return 0.0
@@ -41,11 +45,12 @@
         return timeout_ms
 
     def may_retry(self, request: Request, outcome: Outcome, admission_probability: float) -> bool:
-        """Whether attempts, budget and load allow another attempt; idempotency and the time that is left are
-        checked by the caller (`QueueTimes.latest_send_at`, `allowed_groups`).
+        """Whether attempt limit, retry budget and load allow another attempt.
+
+        The caller checks idempotency and the remaining time (`QueueTimes.latest_send_at`, `allowed_groups`).
 
-        A timeout under overload is retried with the admission probability only: the endpoints are busy with
-        the first attempt still. An attempt that never reached an endpoint costs no budget.
+        A timeout is retried only with the admission probability, as under overload the endpoints are still
+        busy with the first attempt. Retrying an attempt that never reached an endpoint costs no budget.
         """
         is_allowed = request.attempts_sent < self.max_attempts
         if self.budget.is_exhausted() and outcome not in NEVER_REACHED_ENDPOINT:
@@ -61,7 +66,7 @@
 
 
 def record_execution(attempt: Attempt, outcome: Outcome) -> None:
-    """Record where and when a request may have been executed first; a retry has to go by that."""
+    """Record where and when a request may first have been executed, which restricts its retries."""
     request = attempt.request
     if outcome in NEVER_EXECUTED or request.may_have_executed:
         return
@@ -71,11 +76,11 @@
 
 
 def allowed_groups(request: Request, now: float, endpoints: Iterable[TrackedEndpoint]) -> list[int | None]:
-    """Return the deduplication groups that an attempt may go to, in order; `None`: any endpoint.
+    """Return the deduplication groups that an attempt may go to, most preferred first; `None`: any endpoint.
 
-    A request with an idempotency key that may have been executed goes only where its duplicate is dropped,
-    and only within the idempotency window; one that is not idempotent goes nowhere. A key's first attempt
-    goes to its preferred group, as a retry through another limiter will.
+    After a possible execution, a request with an idempotency key may go only to the group that drops its
+    duplicate, within the idempotency window, and a request that is not idempotent to none. The first attempt
+    with a key goes to the key's preferred group, and so does a retry through another limiter.
     """
     request_class = request.request_class
     if request_class.idempotency is Idempotency.IDEMPOTENT:
--- a/scalelb/policy/retry_after.py
+++ b/scalelb/policy/retry_after.py
@@ -1,4 +1,4 @@
-"""The time after which a rejected client should come back (`Retry-After`)."""
+"""The `Retry-After` delay of rejected requests."""
 
 from __future__ import annotations
 
@@ -10,8 +10,10 @@
 def retry_after_ms(
     request: Request, usual_latency_ms: float, admission_probability: float, max_retry_after_ms: float
 ) -> float:
-    """Return when (ms from now) the rate will have covered queue and request, or the endpoints may have
-    capacity available again, whichever is later."""
+    """Return the delay (ms) after which the client should retry.
+
+    By then the refill covers the queued requests and this one, and the endpoints are likely to have capacity.
+    """
     bucket = request.tenant.bucket
     refill_s = 0.0
     if bucket.plan.rate_per_s:
--- a/scalelb/policy/retry_age.py
+++ b/scalelb/policy/retry_age.py
@@ -1,10 +1,10 @@
 """Estimates how long ago a client first sent a request that it now retries.
 
-A client waits for a class's deadline in all, over every attempt that it makes, and for a part of it (its
-timeout) on each. A first attempt therefore arrives with this timeout left, a retry with the lesser of the
-timeout and what the earlier attempts have left of the deadline. Where less than the timeout is left, the
-difference to the deadline is the time since the first attempt. Where the whole timeout is left, that time
-lies between nothing and the part of the deadline that the timeout leaves; its middle is taken.
+A client has the deadline of the request class for all its attempts together, and a shorter timeout for each
+attempt. A first attempt therefore arrives with the whole timeout left, a retry with the timeout or the rest
+of the deadline, whichever is shorter. If less than the timeout is left, the request's age is the deadline
+minus the time left. If the whole timeout is left, the age is between 0 and the deadline minus the timeout;
+the estimate is the middle of this range.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from scalelb.policy.events import RequestArrived
 from scalelb.policy.settings import RequestClass
 
-TOLERANCE_MS = 5.0  # by which first attempts differ in time left, for their way to the limiter
-UNKNOWN_AGE_RATIO = 0.5  # of the greatest age that a retry with its whole timeout left may have
+TOLERANCE_MS = 5.0  # variation of the time left of first attempts, due to network latency
+UNKNOWN_AGE_RATIO = 0.5  # estimate for a retry with its whole timeout left, as a ratio of the maximum age
 
 
 class RetryAgeEstimator:
@@ -25,8 +25,8 @@
     def age_ms(self, arrived: RequestArrived, request_class: RequestClass) -> float:
         """Return the expected time (ms) since the client's first attempt.
 
-        It is 0 for a first attempt, before any attempt of the class was seen, and where a late answer keeps a
-        part of its value, so that the age decides nothing.
+        It is 0 for a first attempt, until a first attempt of the class has been seen, and for classes whose
+        late answers retain some value, as the age does not matter there.
         """
         left_ms = arrived.expires_in_ms + arrived.queued_ms
         timeout_ms = self._timeout_ms.get(arrived.class_index, 0.0)
--- a/scalelb/policy/retry_budget.py
+++ b/scalelb/policy/retry_budget.py
@@ -1,14 +1,14 @@
-"""Retry budget: bounds the retries of all limiters together, decided without communication.
+"""Retry budget: bounds the retries of the whole fleet without communication between limiters.
 
-A limiter earns retries with good answers and may hold few of them, so that in a total outage the fleet
-retries what it held and no more: `FLEET_RETRY_BUDGET` over all limiters, and at least `MIN_RETRY_BUDGET` at
-each.
+A limiter earns retries with good answers and can save only a few of them. In a total outage the fleet
+therefore sends no more retries than it has saved: `FLEET_RETRY_BUDGET` over all limiters, and at least
+`MIN_RETRY_BUDGET` at each.
 """
 
 from __future__ import annotations
 
-FLEET_RETRY_BUDGET = 30.0  # retries, over all limiters
-MIN_RETRY_BUDGET = 1.0  # retries, at one limiter
+FLEET_RETRY_BUDGET = 30.0  # retries of all limiters together
+MIN_RETRY_BUDGET = 1.0  # retries per limiter
 RETRIES_PER_GOOD_ANSWER = 0.2
 
 
@@ -17,18 +17,18 @@
 
     def __init__(self, limiters: int) -> None:
         self.capacity = max(MIN_RETRY_BUDGET, FLEET_RETRY_BUDGET / limiters)
-        self.retries = 1.0  # left
+        self.retries = 1.0  # available
 
     def on_answer(self, is_good: bool) -> None:
-        """Earn a part of a retry with a good answer, up to the capacity."""
+        """Earn a fraction of a retry with a good answer, up to the capacity."""
         if is_good:
             self.retries += RETRIES_PER_GOOD_ANSWER
         self.retries = min(self.capacity, self.retries)
 
     def is_exhausted(self) -> bool:
-        """Whether no whole retry is left."""
+        """Whether less than one retry is available."""
         return self.retries < 1
 
     def spend(self) -> None:
-        """Take one retry."""
+        """Spend one retry."""
         self.retries -= 1
--- a/scalelb/policy/slow_start.py
+++ b/scalelb/policy/slow_start.py
@@ -1,9 +1,10 @@
-"""Slow start: how much one limiter sends to endpoints that have just started.
+"""Slow start: limits the traffic that one limiter sends to recently started endpoints.
 
-An endpoint that is warming up fails when all limiters together send it more than `overload_multiple` times
-what it can do within `overload_window_ms`. It can do what warm endpoints of its size carry, times its
-capacity ratio. The work that a limiter saw finished at warm endpoints is its part of that, and the parts of
-all limiters add up; so each limiter sends its part without asking the others.
+An endpoint that is warming up fails if all limiters together send it more than `overload_multiple` times its
+throughput within `overload_window_ms`. Its throughput is that of a warm endpoint of its size times its
+capacity ratio. Each limiter measures the work that warm endpoints complete for it, which is its share of the
+total throughput. As the shares of all limiters add up to the total, each one can send its share without
+communicating with the others.
 """
 
 from __future__ import annotations
@@ -15,15 +16,18 @@
 from scalelb.policy.outlier_detection import TrackedEndpoint
 from scalelb.policy.settings import Settings
 
-BUDGET_RATIO = 0.4  # of what endpoints that warm up can take; the rest is for chance, requests larger than
-# told, slow spells, and attempts sent before the endpoint list tells of a start
-SAVED_WINDOW_RATIO = 0.5  # of the overload window that an idle limiter may save up
+# Ratio of the overload limit of warming endpoints that is used. The rest is a margin for random variation,
+# requests larger than declared, slow periods, and attempts sent before the endpoint list reports a start.
+BUDGET_RATIO = 0.4
+SAVED_WINDOW_RATIO = 0.5  # ratio of the overload window for which an idle limiter saves its budget
 WORK_MEMORY_MS = 10_000.0  # time constant in which work done by warm endpoints is forgotten
 
 
 def capacity_ratio(endpoint_started_at: float, now: float, settings: Settings) -> float:
-    """Return the part of its capacity that an endpoint has at least: it rises linearly from
-    `slow_start_initial_ratio` to 1 during `slow_start_ms`."""
+    """Return the minimum share of its capacity that an endpoint has at `now` (ms).
+
+    It rises linearly from `slow_start_initial_ratio` to 1 during `slow_start_ms`.
+    """
     if not endpoint_started_at:
         return 1.0
     elapsed_ratio = max(0.0, now - endpoint_started_at) / settings.slow_start_ms
@@ -40,22 +44,22 @@
         self.warming_up: list[TrackedEndpoint] = []
         self.warm_capacity = 0.0  # relative capacity of all warm endpoints
         self.has_warm_endpoints = False
-        self.work_units = 0.0  # that warm endpoints did for this limiter lately
-        self.capacity_time = 0.0  # their relative capacity times the time (ms) that this took
+        self.work_units = 0.0  # units that warm endpoints completed for this limiter, decayed
+        self.capacity_time = 0.0  # relative capacity of warm endpoints times elapsed ms, decayed alike
         self.measured_at = 0.0
-        self.saved_units = 0.0  # that were earned and not spent
+        self.saved_units = 0.0  # earned but unspent budget
         self.allowed_at = 0.0
-        self._cumulative_capacity: list[float] = []  # of those that are warming up
+        self._cumulative_capacity: list[float] = []  # of the endpoints in `warming_up`
 
     def record_work(self, now: float, units: float = 0.0) -> None:
-        """Add units that a warm endpoint has done.  While no endpoint is warm, what was measured is kept."""
-        fade = exp((self.measured_at - now) / WORK_MEMORY_MS) if self.has_warm_endpoints else 1.0
+        """Add units that a warm endpoint has completed.  Without warm endpoints, the sums do not decay."""
+        decay = exp((self.measured_at - now) / WORK_MEMORY_MS) if self.has_warm_endpoints else 1.0
         self.measured_at = now
-        self.work_units = self.work_units * fade + units
-        self.capacity_time = self.capacity_time * fade + (1 - fade) * WORK_MEMORY_MS * self.warm_capacity
+        self.work_units = self.work_units * decay + units
+        self.capacity_time = self.capacity_time * decay + (1 - decay) * WORK_MEMORY_MS * self.warm_capacity
 
     def on_endpoints(self, now: float, endpoints: list[TrackedEndpoint], warm_capacity: float) -> None:
-        """Take over the serving endpoints, with the relative capacity of all warm ones."""
+        """Update the serving endpoints and the relative capacity of all warm ones."""
         if not self.warming_up:
             self.saved_units = 0.0
             self.allowed_at = now
@@ -66,20 +70,22 @@
         self._cumulative_capacity = list(accumulate(shares))
 
     def assume_work(self, mean_capacity: float, mean_units: float, shortest_objective_ms: float) -> None:
-        """Before anything was measured, assume the least: an endpoint does one mean request within the
-        latency objective, for all limiters together."""
+        """Assume a minimum throughput until there is a measurement: one mean request per endpoint within the
+        latency objective, for all limiters together.
+        """
         if self.capacity_time:
             return
         self.capacity_time = WORK_MEMORY_MS * mean_capacity
         self.work_units = WORK_MEMORY_MS * mean_units / shortest_objective_ms / self.settings.limiter_count
 
     def draw(self, now: float, units: float) -> list[TrackedEndpoint]:
-        """Return the one endpoint in slow start that this attempt may go to, if any.
+        """Return a list of the one endpoint in slow start that this attempt may use, or an empty list.
 
-        No attempt goes to such an endpoint without this. Each attempt, first or retry, draws once, as the
-        limiter's part is often less than one request: it may go with a probability of the allowed units over
-        its own, and these are spent even if it may not. With what an idle limiter saves, the budget is
-        `BUDGET_RATIO` x (1 + `SAVED_WINDOW_RATIO`) at most, on average; a restarted limiter has saved none.
+        Attempts reach endpoints in slow start only through this method. Each attempt, first or retry, draws
+        once: as the limiter's share is often less than one request, the attempt is allowed with a probability
+        of the allowed units over its own units, and the allowed units are spent even if the draw fails. With
+        the savings of an idle limiter, the budget is on average at most `BUDGET_RATIO` x (1 +
+        `SAVED_WINDOW_RATIO`); a restarted limiter has no savings.
         """
         if not self.warming_up:
             return []
--- a/scalelb/policy/tenant_queue.py
+++ b/scalelb/policy/tenant_queue.py
@@ -1,4 +1,4 @@
-"""The queue of one tenant's requests at one limiter, in the order in which they are sent."""
+"""The queue of one tenant's requests at one limiter, in sending order."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class TenantQueue:
-    """Retries first, then by rank, then in the order of arrival.  Short, and most often empty."""
+    """Orders retries first, then by rank, then by arrival.  It is short, and usually empty."""
 
     __slots__ = ("requests", "units")
 
     def __init__(self) -> None:
         self.requests: list[Request] = []
-        self.units = 0.0  # of the first attempts among them: retries are charged already
+        self.units = 0.0  # of queued first attempts; retries have already been charged
 
     def insert(self, request: Request) -> None:
-        """Add a request in its place."""
+        """Insert a request at its position in the sending order."""
         if request.attempts_sent:
             self.requests.insert(0, request)
             return
@@ -30,5 +30,5 @@
             self.units = sum(other.units for other in self.requests if not other.attempts_sent)
 
     def is_next(self, request: Request) -> bool:
-        """Whether a new request would be the first, ahead of all that are queued."""
+        """Whether a new request would be first, ahead of all queued ones."""
         return not self.requests or request.rank > self.requests[0].rank
--- a/scalelb/policy/tenant_table.py
+++ b/scalelb/policy/tenant_table.py
@@ -1,4 +1,4 @@
-"""The tenants that a limiter knows in full, and compact records of those that were evicted."""
+"""The table of a limiter's active tenants, with compact records of evicted ones."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from scalelb.policy.settings import Settings
 from scalelb.policy.tenant import Tenant
 
-MAX_TENANTS = 2048  # known in full
-EVICTED_AT_ONCE = 8  # that are tried for each new one beyond the most
+MAX_TENANTS = 2048  # active tenants; others have at most a compact record
+EVICTION_CANDIDATES = 8  # tenants considered for eviction per new tenant above `MAX_TENANTS`
 
 
 class TenantTable:
-    """Tenants by name; the one that was seen last stands last."""
+    """Active tenants by name, least recently used first."""
 
     def __init__(self, settings: Settings, records: TenantRecords) -> None:
         self.settings = settings
@@ -23,7 +23,7 @@
         self.tenants: dict[str, Tenant] = {}
 
     def find(self, name: str) -> Tenant | None:
-        """Return a tenant that is known in full, and note that it was seen; `None` for any other."""
+        """Return an active tenant and mark it as most recently used; `None` if it is not active."""
         tenant = self.tenants.pop(name, None)
         if tenant is not None:
             self.tenants[name] = tenant
@@ -32,8 +32,8 @@
     def create(self, event: RequestArrived, now: float, uptime_ms: float, mean_units: float) -> Tenant:
         """Add the tenant of a request, restored from its record if there is one.
 
-        A tenant without a record has a full bucket, unless records had to give way lately: then its record
-        may be among those, and a full bucket would be a second burst.
+        A tenant without a record starts with a full bucket, unless records were dropped recently for lack of
+        space. Its record may be among those, and a full bucket would grant a second burst.
         """
         tenant = Tenant.create(event, self.settings, now, uptime_ms, mean_units)
         bucket = tenant.bucket
@@ -52,17 +52,17 @@
         return tenant
 
     def eviction_candidates(self) -> list[Tenant]:
-        """Return the tenants to evict first, where more are known than may be."""
+        """Return the least recently used tenants if there are more than `MAX_TENANTS`."""
         if len(self.tenants) <= MAX_TENANTS:
             return []
-        return list(islice(self.tenants.values(), EVICTED_AT_ONCE))
+        return list(islice(self.tenants.values(), EVICTION_CANDIDATES))
 
     def evict(self, tenant: Tenant, now: float, is_counter_available: bool) -> None:
-        """Replace a tenant by a compact record of its bucket, which is kept until that is full again."""
+        """Replace a tenant by a compact record, which is stored until the tenant's bucket is full again."""
         record = tenant.bucket.to_record(now, is_counter_available)
         self.records.put(tenant.name, record, now)
         del self.tenants[tenant.name]
 
     def knows(self, name: str) -> bool:
-        """Whether a tenant was seen lately."""
+        """Whether a tenant is active or has a record."""
         return name in self.tenants or self.records.has_record(name)
--- a/scalelb/wirehost.py
+++ b/scalelb/wirehost.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: JSON lines to events, actions to JSON lines.  It decides nothing.
+"""Simulator wire protocol: translates JSON lines to events, and actions to JSON lines.
 
-Each instance has a `Limiter` of its own and shares nothing with the others.  Malformed input ends the program
-with a plain message; a fault inside a limiter is declared with `BailOut`.
+Each instance has its own `Limiter` and shares no state with other instances. Malformed input ends the program
+with an error message on standard error; an exception inside a limiter is reported with `BailOut`.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 class WireError(Exception):
-    """Input that does not follow the wire."""
+    """Input that violates the wire protocol."""
 
 
 class LimiterFaultError(Exception):
@@ -72,7 +72,7 @@
 
 
 def read_endpoint(item: Fields) -> Endpoint:
-    """Translate one entry of a server list."""
+    """Translate one entry of an endpoint list."""
     return Endpoint(
         name=item["server"],
         state=STATES[item["state"]],
@@ -84,7 +84,7 @@
 
 
 def read_event(name: str, fields: Fields, endpoint_lists: dict[int, tuple[Endpoint, ...]]) -> Event:
-    """Translate one event of a running instance."""
+    """Translate one event for a running instance."""
     match name:
         case "Accept":
             return RequestArrived(
@@ -110,7 +110,7 @@
                 load_report=fields.get("telemetry", {}),
                 quota_used_percent=fields["usage"] - 1.0
                 if fields.get("usage")
-                else None,  # 0 or absent: not told
+                else None,  # not reported if 0 or absent; else the value plus 1
             )
         case "Fired":
             return TimerFired(tag=fields.get("tag", 0))
@@ -159,7 +159,7 @@
             if action.retry_after_ms:
                 fields["not-before-for-ms"] = action.retry_after_ms
         case AdmitRequest():
-            raise LimiterFaultError("nothing asks for an admission here")
+            raise LimiterFaultError("unexpected AdmitRequest: the wire has no admission requests")
         case FailRequest():
             name, fields = "Fail", {"tid": action.request_id}
         case CancelAttempt():
@@ -181,28 +181,28 @@
 
 
 class Host:
-    """Hosts the instances of one process and speaks the wire for them."""
+    """Runs the limiter instances of one process behind the wire protocol."""
 
     def __init__(self) -> None:
         self.limiters: dict[int, Limiter] = {}
-        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the number that events refer to
-        self.batch: int | None = None  # its number; None between two batches
+        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by roster id
+        self.batch: int | None = None  # number of the current batch; None between batches
         self.now = 0.0  # ms
         self.replies: list[Fields] = []
 
-    def take(self, line: str) -> list[Fields]:
-        """Take one line; return the reply's messages at the end of a batch, else nothing."""
+    def handle_line(self, line: str) -> list[Fields]:
+        """Handle one input line; return the reply's messages at the end of a batch, else an empty list."""
         try:
             message = json.loads(line)
         except ValueError as error:
             raise WireError(f"not JSON: {error}") from None
         if not isinstance(message, dict) or len(message) != 1:
-            raise WireError("a message is an object with one key, its name")
+            raise WireError("a message must be an object with one key, the message name")
         [(name, fields)] = message.items()
         if not isinstance(fields, dict):
-            raise WireError(f"{name}: its fields are an object")
+            raise WireError(f"{name}: the fields must be an object")
         try:
-            return self._message(name, fields)
+            return self._handle_message(name, fields)
         except ConfigError as error:
             raise WireError(f"{name}: {error}") from None
         except KeyError as error:
@@ -210,7 +210,7 @@
         except (TypeError, ValueError, AttributeError, IndexError) as error:
             raise WireError(f"{name}: {error}") from None
 
-    def _message(self, name: str, fields: Fields) -> list[Fields]:
+    def _handle_message(self, name: str, fields: Fields) -> list[Fields]:
         if name == "Mark":
             if self.batch is not None:
                 raise WireError("Mark inside a batch")
@@ -228,41 +228,41 @@
                 read_endpoint(item) for item in fields["items"]
             )
         else:
-            self._event(name, fields)
+            self._handle_event(name, fields)
         return []
 
-    def _event(self, name: str, fields: Fields) -> None:
+    def _handle_event(self, name: str, fields: Fields) -> None:
         instance = fields["i"]
         if name == "PowerOn":
             self.limiters[instance] = Limiter(read_settings(fields["options"]), fields["seed"])
-            self._decide(instance, Started())
+            self._run_limiter(instance, Started())
         elif name == "Shutdown":
             self.limiters.pop(instance, None)
         elif instance not in self.limiters:
-            raise WireError(f"{name} for instance {instance}, which does not run")
+            raise WireError(f"{name} for instance {instance}, which is not running")
         else:
-            self._decide(instance, read_event(name, fields, self.endpoint_lists))
+            self._run_limiter(instance, read_event(name, fields, self.endpoint_lists))
 
-    def _decide(self, instance: int, event: Event) -> None:
+    def _run_limiter(self, instance: int, event: Event) -> None:
         try:
             actions = self.limiters[instance].handle(self.now, event)
         except Exception as error:
             is_described = isinstance(error, DecisionFaultError)
-            words = str(error) if is_described else f"{type(error).__name__}: {error}"
-            self.replies.append({"BailOut": {"i": instance, "words": words}})
+            description = str(error) if is_described else f"{type(error).__name__}: {error}"
+            self.replies.append({"BailOut": {"i": instance, "words": description}})
             raise LimiterFaultError from error
         self.replies.extend(write_action(instance, action) for action in actions)
 
 
 def serve(lines: Iterable[str], output: TextIO) -> None:
-    """Answer batch after batch until the input ends."""
+    """Process batches and write their replies until the input ends."""
     host = Host()
     for line in lines:
         if not line.strip():
             continue
         has_failed = False
         try:
-            replies = host.take(line)
+            replies = host.handle_line(line)
         except LimiterFaultError:
             replies = [*host.replies, {"Ready": {"frame": host.batch}}]
             has_failed = True
@@ -270,13 +270,13 @@
             output.write("".join(json.dumps(reply, separators=(",", ":")) + "\n" for reply in replies))
             output.flush()
         if has_failed:
-            raise WireError("a gateway broke; see BailOut")
+            raise WireError("a limiter failed; see BailOut")
     if host.batch is not None:
         raise WireError("input ended inside a batch")
 
 
 def main() -> int:
-    """Speak the wire on standard input and output."""
+    """Serve the wire protocol on standard input and output."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -253,8 +253,8 @@
     for number in range(3 * VISITED_TENANTS):
         d.ask(f"c{number}", units=0.5, sharing_limiters=1)
     visited: list[int] = []
-    part = d.limiter._keep_house
-    d.limiter._keep_house = lambda now: (part(now), visited.append(len(d.limiter.housekeeper.unvisited)))[0]  # type: ignore
+    part = d.limiter._housekeep
+    d.limiter._housekeep = lambda now: (part(now), visited.append(len(d.limiter.housekeeper.unvisited)))[0]  # type: ignore
     d.wait(1100.0)
     assert visited[:3] == [2 * VISITED_TENANTS, VISITED_TENANTS, 0]
 
--- a/tests/test_contained_faults.py
+++ b/tests/test_contained_faults.py
@@ -96,8 +96,8 @@
     limiter = back.core.limiter
     clients = {name: [ask(back, tenant=name, units=2.0)[0] for _ in range(2)] for name in ("a", "odd", "z")}
     back.run()
-    broken = fails_for(limiter._look_at, lambda tenant, now: tenant.name == "odd")
-    monkeypatch.setattr(limiter, "_look_at", broken)
+    broken = fails_for(limiter._process_tenant, lambda tenant, now: tenant.name == "odd")
+    monkeypatch.setattr(limiter, "_process_tenant", broken)
     back.run(1500.0)
     for name in ("a", "z"):
         assert [verdicts(client) for client in clients[name]] == [[Verdict.SERVED]] * 2
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs and prints what it says."""
+"""The example in the README runs and prints the documented output."""
 
 import re
 from pathlib import Path
@@ -8,8 +8,8 @@
 README = (Path(__file__).parent.parent / "README.md").read_text()
 
 
-def test_the_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_prints_the_documented_output(capsys: pytest.CaptureFixture[str]) -> None:
     [code] = re.findall(r"```python\n(.*?)```", README, re.DOTALL)
-    [said] = re.findall(r"print\(send.*\)  # (.*)", code)
+    [documented_output] = re.findall(r"print\(send.*\)  # (.*)", code)
     exec(compile(code, "README.md", "exec"), {})
-    assert capsys.readouterr().out.strip() == said
+    assert capsys.readouterr().out.strip() == documented_output
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: what it reads, what it writes, what it rejects."""
+"""The simulator wire adapter: reading events, writing actions, rejecting malformed input."""
 
 from __future__ import annotations
 
@@ -51,12 +51,14 @@
     },
     "rules": {"cold-from": 0.2, "cold-ms": 9000.0, "fall-multiple": 2.5, "fall-ms": 3000.0},
     "extra": {"most-units": 4, "shared-counter": True, "count-limit-ms": 50.0},
-    "a-key-of-tomorrow": 1,
+    "unknown-future-key": 1,
 }
-LIST = {"Ledger": {"roster-id": 0, "items": [{"state": "SERVING", "server": "a", "model": 0, "site": 0}]}}
-START = [
+ENDPOINT_LIST = {
+    "Ledger": {"roster-id": 0, "items": [{"state": "SERVING", "server": "a", "model": 0, "site": 0}]}
+}
+START_EVENTS = [
     {"PowerOn": {"i": 3, "seed": 5, "options": OPTIONS}},
-    LIST,
+    ENDPOINT_LIST,
     {"Discovery": {"i": 3, "mode": "warm_copy", "seq-no": 1, "roster-id": 0}},
 ]
 REQUEST = {"Accept": {"i": 3, "tid": 71, "customer": "c", "expires-in-ms": 900.0, "weight": 2, "doors": 2}}
@@ -67,63 +69,65 @@
     return [json.dumps(line) for line in lines]
 
 
-def reply(lines: list[str]) -> list[dict[str, Any]]:
+def replies_to(lines: list[str]) -> list[dict[str, Any]]:
     output = text.StringIO()
     wirehost.serve(lines, output)
     return [json.loads(line) for line in output.getvalue().splitlines()]
 
 
-def test_a_batch_without_events_is_answered() -> None:
-    assert reply(batch(1)) == [{"Ready": {"frame": 1}}]
+def test_batch_without_events_is_answered() -> None:
+    assert replies_to(batch(1)) == [{"Ready": {"frame": 1}}]
 
 
-def test_a_request_is_passed_on_and_the_instance_is_named() -> None:
-    out = reply(batch(1, *START) + batch(2, REQUEST))
-    sends = [m["PassOn"] for m in out if "PassOn" in m]
+def test_request_is_forwarded_by_the_instance_that_received_it() -> None:
+    output = replies_to(batch(1, *START_EVENTS) + batch(2, REQUEST))
+    sends = [m["PassOn"] for m in output if "PassOn" in m]
     assert [(s["i"], s["tid"], s["server"]) for s in sends] == [(3, 71, "a")]
-    assert out[-1] == {"Ready": {"frame": 2}}
+    assert output[-1] == {"Ready": {"frame": 2}}
 
 
-def test_a_list_number_is_used_again_within_a_batch() -> None:
+def test_endpoint_list_id_can_be_reused_within_a_batch() -> None:
     other = {"Ledger": {"roster-id": 0, "items": [{"state": "SERVING", "server": "b"}]}}
     change = {"Discovery": {"i": 3, "mode": "total", "seq-no": 2, "roster-id": 0}}
-    out = reply(batch(1, *START, other, change, REQUEST))
-    assert [m["PassOn"]["server"] for m in out if "PassOn" in m] == ["b"]
+    output = replies_to(batch(1, *START_EVENTS, other, change, REQUEST))
+    assert [m["PassOn"]["server"] for m in output if "PassOn" in m] == ["b"]
 
 
-def test_an_instance_stops_and_starts_within_a_batch() -> None:
-    out = reply(batch(1, *START, REQUEST, {"Shutdown": {"i": 3}}, *START))
-    assert sum("PassOn" in m for m in out) == 1
-    late = {"Settled": {"i": 3, "tid": 71, "server": "a", "reason": "done", "complete": True}}
-    assert reply(batch(1, *START, late))[-1] == {"Ready": {"frame": 1}}
+def test_instance_can_stop_and_restart_within_a_batch() -> None:
+    output = replies_to(batch(1, *START_EVENTS, REQUEST, {"Shutdown": {"i": 3}}, *START_EVENTS))
+    assert sum("PassOn" in m for m in output) == 1
+    stale = {"Settled": {"i": 3, "tid": 71, "server": "a", "reason": "done", "complete": True}}
+    assert replies_to(batch(1, *START_EVENTS, stale))[-1] == {"Ready": {"frame": 1}}
 
 
-def test_a_lost_list_keeps_the_old_one() -> None:
-    out = reply(batch(1, *START, {"Discovery": {"i": 3, "mode": "lost", "seq-no": 1}}, REQUEST))
-    assert any("PassOn" in m for m in out)
+def test_lost_endpoint_list_keeps_the_previous_one() -> None:
+    output = replies_to(
+        batch(1, *START_EVENTS, {"Discovery": {"i": 3, "mode": "lost", "seq-no": 1}}, REQUEST)
+    )
+    assert any("PassOn" in m for m in output)
 
 
 @pytest.mark.parametrize(
-    ("lines", "words"),
+    ("lines", "message"),
     [
         (["{"], "not JSON"),
         (["[]"], "one key"),
         ([json.dumps({"EofBatch": {}})], "outside a batch"),
         (batch(1)[:1] * 2, "inside a batch"),
         (batch(1)[:1], "ended inside"),
-        (batch(1, *START, {"Novelty": {"i": 3}}), "unknown event 'Novelty'"),
-        (batch(1, REQUEST), "does not run"),
-        (batch(1, *START, {"Accept": {"i": 3}}), "missing field"),
-        (batch(1, *START, {"Settled": {"i": 3, "tid": 1, "server": "a", "reason": "fine"}}), "'fine'"),
+        (batch(1, *START_EVENTS, {"Unknown": {"i": 3}}), "unknown event 'Unknown'"),
+        (batch(1, REQUEST), "is not running"),
+        (batch(1, *START_EVENTS, {"Accept": {"i": 3}}), "missing field"),
+        (batch(1, *START_EVENTS, {"Settled": {"i": 3, "tid": 1, "server": "a", "reason": "fine"}}), "'fine'"),
         (batch(1, {"PowerOn": {"i": 3, "seed": 1, "options": {}}}), "PowerOn"),
     ],
 )
-def test_malformed_input_is_named(lines: list[str], words: str) -> None:
-    with pytest.raises(wirehost.WireError, match=words):
+def test_malformed_input_is_described_in_the_error(lines: list[str], message: str) -> None:
+    with pytest.raises(wirehost.WireError, match=message):
         wirehost.serve(lines, text.StringIO())
 
 
-def test_the_program_ends_with_a_plain_message_and_a_status() -> None:
+def test_program_exits_with_an_error_message_and_a_nonzero_status() -> None:
     run = subprocess.run(
         [sys.executable, "-m", "scalelb.wirehost"], input="nonsense\n", capture_output=True, text=True
     )
@@ -133,22 +137,24 @@
     assert "Traceback" not in run.stderr
 
 
-def test_exception_inside_a_limiter_is_declared(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
-        raise RuntimeError("no such thing")
+def test_exception_inside_a_limiter_is_reported_with_bail_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(*_: object) -> None:
+        raise RuntimeError("planted fault")
 
     output = text.StringIO()
-    monkeypatch.setattr(Limiter, "handle", broken)
-    with pytest.raises(wirehost.WireError, match="broke"):
-        wirehost.serve(batch(1, *START), output)
-    assert json.loads(output.getvalue().splitlines()[0])["BailOut"]["words"] == "RuntimeError: no such thing"
+    monkeypatch.setattr(Limiter, "handle", raise_error)
+    with pytest.raises(wirehost.WireError, match="a limiter failed"):
+        wirehost.serve(batch(1, *START_EVENTS), output)
+    assert json.loads(output.getvalue().splitlines()[0])["BailOut"]["words"] == "RuntimeError: planted fault"
 
 
 @pytest.mark.parametrize(
-    ("told", "used"), [({"usage": 86}, 85.0), ({"usage": 1}, 0.0), ({"usage": 0}, None), ({}, None)]
+    ("usage", "expected"), [({"usage": 86}, 85.0), ({"usage": 1}, 0.0), ({"usage": 0}, None), ({}, None)]
 )
-def test_use_is_told_without_the_one_that_the_wire_adds(told: dict[str, int], used: float | None) -> None:
+def test_quota_usage_is_read_without_the_offset_that_the_wire_adds(
+    usage: dict[str, int], expected: float | None
+) -> None:
     settled = {"i": 3, "tid": 71, "server": "a", "reason": "done", "complete": True, "final-units": 3}
-    event = wirehost.read_event("Settled", {**settled, **told}, {})
+    event = wirehost.read_event("Settled", {**settled, **usage}, {})
     assert isinstance(event, AttemptEnded)
-    assert (event.quota_used_percent, event.true_units) == (used, 3)
+    assert (event.quota_used_percent, event.true_units) == (expected, 3)
