--- a/scalelb/policy/limiter.py
+++ b/scalelb/policy/limiter.py
@@ -303,7 +303,7 @@
         if self.housekeeper.is_round_over():
             try:
                 self._update_each_round(now)
-            except Exception as error:  # the tenants are visited nevertheless
+            except Exception as error:  # housekeeping still visits the tenants
                 self.faults.append(error)
             self.housekeeper.begin_round()
         self.housekeeper.visit_slice(now)
--- a/scalelb/policy/request.py
+++ b/scalelb/policy/request.py
@@ -27,7 +27,7 @@
     arrived_at: float  # ms
     rank: tuple[float, float]  # order in its tenant's queue: class precedence, then fewest units
     attempts_sent: int = 0
-    must_wait_for_counter: bool = False  # must not overdraw the balance
+    must_wait_for_counter: bool = False  # if so, it must not overdraw the balance
     charged_units: float = 0.0
     last_endpoint: str = ""
     may_have_executed: bool = False  # whether an endpoint may have executed an attempt
@@ -99,5 +99,5 @@
 
     request: Request
     endpoint: TrackedEndpoint
-    load: float  # in units of a mean request
+    load: float  # relative to a request of mean units
     sent_at: float  # ms
--- a/scalelb/policy/running_estimates.py
+++ b/scalelb/policy/running_estimates.py
@@ -4,7 +4,7 @@
 
 ANSWER_GAIN = 0.05  # weight of the newest answer
 MAX_INTERVAL_SAMPLE_MS = 1000.0  # longer intervals between answers count as this
-INITIAL_LATENCY_RATIO = 0.1  # latency before the first answer, per shortest latency objective
+INITIAL_LATENCY_RATIO = 0.1  # initial latency, as a ratio of the shortest objective
 
 
 class RunningEstimates:
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -21,7 +21,7 @@
 
 import orjson
 from driver import SAFE, SETTINGS, UNSAFE, Driver, servers
-from scenario import Net, Wire
+from scenario import MemoryNetwork, Wire
 
 from scalelb.admission_queue.tenant_records import TenantRecord, TenantRecords
 from scalelb.consensus import Acceptor, Learner, LeaseTimes, Proposer
@@ -391,7 +391,7 @@
 
     def __init__(self, name: str, nonce: int, now: float = 0.0) -> None:
         self.now = now  # of the links; the clock of the decisions stands NOW_MS further
-        net: Any = Net()
+        net: Any = MemoryNetwork()
         addresses = {other: f"127.0.0.1:{7200 + int(other[1])}" for other in MEMBERS if other != name}
         self.replicator = Replicator(ReplicationSettings(name, MEMBERS), nonce, now, ignore)
         self.links = PeerLinks(
@@ -424,7 +424,7 @@
     # Its links
 
     def connect(self, peer: str, hello: bytes) -> None:
-        self.wires[peer] = self.net.join(peer, self.links)
+        self.wires[peer] = self.net.connect(peer, self.links)
         self.deliver(peer, hello)
 
     def deliver(self, peer: str, data: bytes) -> None:
--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -9,7 +9,7 @@
 
 import pytest
 from driver import SETTINGS, Driver
-from scenario import Stage
+from scenario import Harness
 from standin import KINDS, PLANS, SITE, Backside
 from test_core import Client, ask
 from test_middleware import HEADERS
@@ -38,16 +38,16 @@
         backend send {SERVED}
         backend2 send {SERVED}
         wait 3000
-        backend silent
-        backend2 silent
+        backend expect-nothing
+        backend2 expect-nothing
         """,
 }
 
 
-def queue_third_request(stage: Stage, wait: int = 7000) -> None:
-    stage.play("client1 send {call(1)}\nbackend expect 0000000000000001")
-    stage.play("client2 send {call(2)}\nbackend2 expect 0000000000000002")
-    stage.play(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 silent")
+def queue_third_request(stage: Harness, wait: int = 7000) -> None:
+    stage.run("client1 send {call(1)}\nbackend expect 0000000000000001")
+    stage.run("client2 send {call(2)}\nbackend2 expect 0000000000000002")
+    stage.run(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 expect-nothing")
     adapter = stage.loop.core.queue_adapter
     assert adapter is not None
     assert list(adapter.queue.queued.by_id) == [3]
@@ -55,9 +55,9 @@
 
 @pytest.mark.parametrize("story", STORIES.values(), ids=STORIES.keys())
 def test_queued_request_is_forwarded_once_or_never(story: str) -> None:
-    stage = Stage(fairness=TWO, has_counter=False)
+    stage = Harness(fairness=TWO, has_counter=False)
     queue_third_request(stage)
-    stage.play(story)
+    stage.run(story)
     adapter = stage.loop.core.queue_adapter
     assert adapter is not None
     assert not adapter.queue.queued.by_id
@@ -65,30 +65,30 @@
 
 
 def test_overdue_request_is_rejected_and_never_sent() -> None:
-    stage = Stage(fairness=TWO, has_counter=False)
+    stage = Harness(fairness=TWO, has_counter=False)
     queue_third_request(stage, wait=400)
-    stage.play("wait 300\nclient3 expect -BUSY\nbackend send {SERVED}\nwait 20\nbackend silent")
+    stage.run("wait 300\nclient3 expect -BUSY\nbackend send {SERVED}\nwait 20\nbackend expect-nothing")
 
 
 def test_sigterm_finishes_queued_requests() -> None:
-    stage = Stage(fairness=TWO, has_counter=False)
+    stage = Harness(fairness=TWO, has_counter=False)
     queue_third_request(stage)
     stage.program.stop()
     stage.wait(750)
-    stage.play("backend send {SERVED}\nwait 20\nbackend expect 0000000000000003\nbackend send {SERVED}")
-    stage.play("client3 expect $2\\nok\\n\nbackend2 send {SERVED}")
+    stage.run("backend send {SERVED}\nwait 20\nbackend expect 0000000000000003\nbackend send {SERVED}")
+    stage.run("client3 expect $2\\nok\\n\nbackend2 send {SERVED}")
     for number in (1, 2, 3):
-        stage.play(f"client{number} close")
+        stage.run(f"client{number} close")
     stage.wait(100)
     assert stage.net.stopped
 
 
 def test_sighup_leaves_queued_requests() -> None:
-    stage = Stage(fairness=TWO, has_counter=False)
+    stage = Harness(fairness=TWO, has_counter=False)
     queue_third_request(stage)
     stage.reload(director="127.0.0.1:7001", fairness=AdmissionQueueSettings(held_most=1))
     assert [e["at_next_start"] for e in stage.logged if e["event"] == "reloaded"] == [["SCALELB_FAIRNESS"]]
-    stage.play(STORIES["queued request is sent once there is capacity"])
+    stage.run(STORIES["queued request is sent once there is capacity"])
 
 
 def test_full_core_answers_each_request_once() -> None:
--- a/tests/test_anybody.py
+++ b/tests/test_anybody.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from scenario import SERVED, Stage
+from scenario import SERVED, Harness
 from test_wirehost import OPTIONS
 
 from scalelb.program.config import ConfigError, read_settings
@@ -64,7 +64,7 @@
     return site
 
 
-def ask(site: dict[str, Any], stage: Stage, ident: int, kind: dict[str, Any], plan: str) -> None:
+def ask(site: dict[str, Any], stage: Harness, ident: int, kind: dict[str, Any], plan: str) -> None:
     """One request of a new customer, of the least units, with the whole deadline of its class."""
     values = f"c={kind['name']},t={plan},d={int(kind['hard-limit-ms'])}"
     values += f",k=key{ident}" if kind["effect"] == "keyed" else ""
@@ -81,7 +81,7 @@
 def test_a_site_that_is_made_up_serves_each_class_and_plan(site: dict[str, Any]) -> None:
     parsed = read_settings(site)
     told = {f: getattr(parsed, f) for f in parsed.__slots__}
-    stage = Stage(
+    stage = Harness(
         backends=3, kind_names=tuple(c["name"] for c in site["classes"]),
         plan_names=tuple(t["name"] for t in site["tariffs"]), **told,
     )  # fmt: skip
@@ -97,7 +97,7 @@
     assert not stage.loop.core.open_requests
 
 
-def answer(stage: Stage) -> None:
+def answer(stage: Harness) -> None:
     """The counter grants what it is asked for, and backends answer what they got; until nothing is open."""
     totals: dict[bytes, float] = {}
     for _ in range(200):
--- a/tests/test_configuration_properties.py
+++ b/tests/test_configuration_properties.py
@@ -16,7 +16,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from processes import PATIENCE, SETTINGS, Limiter, wire
-from scenario import Net, Stage, call
+from scenario import Harness, MemoryNetwork, call
 
 from scalelb.program import log as program_log
 from scalelb.program.__main__ import Program
@@ -153,7 +153,7 @@
             assert str(found).isprintable()
             continue
         assert min(found.descriptors, found.sessions_most, found.held_most, found.ahead_most) > 0
-        net: Any = Net()
+        net: Any = MemoryNetwork()
         Program(replace(found, shared=""), net, lambda: 1e6, lambda event, **fields: None)
         assert compare(found, found) == ([], [])
 
@@ -243,7 +243,7 @@
 def test_sighup_with_any_file_is_one_line_and_keeps_what_was(change: tuple[str, Any], value: Any) -> None:
     kind, path = change
     contents = {**originals(), kind: content(kind, changed(DOCUMENTS[kind], path, value))}
-    stage = Stage()
+    stage = Harness()
     before, lines = stage.program.config, len(stage.logged)
     with tempfile.TemporaryDirectory() as folder:
         environment = written(Path(folder), contents)
@@ -254,7 +254,7 @@
     if line["event"] == "configuration":
         assert line["kept"]
         assert stage.program.config == before
-    stage.play("""
+    stage.run("""
         client send {call(1)}
         backend expect CALL.GET
         backend send *3\\n$2\\nok\\n$-1\\n$-1\\n
--- a/tests/test_contained_faults.py
+++ b/tests/test_contained_faults.py
@@ -9,7 +9,7 @@
 
 import pytest
 from driver import SETTINGS, Driver, of
-from scenario import Stage
+from scenario import Harness
 from standin import PLAN, SITE, Backside
 from test_core import Client, ask
 
@@ -247,18 +247,18 @@
 
 def test_housekeeping_of_the_program_goes_on_after_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     # Its next round was asked for at its end: after one fault no idle session was ever ended again.
-    stage = Stage()
-    stage.play("client send {call(1)}\n backend send {SERVED}\n client expect ok")
+    stage = Harness()
+    stage.run("client send {call(1)}\n backend send {SERVED}\n client expect ok")
     with monkeypatch.context() as broken:
         broken.setattr(stage.loop, "sweep", lambda: 1 / 0)
         with pytest.raises(ZeroDivisionError):
             stage.wait(300)
     stage.wait(3000)
-    stage.play("client closed")
+    stage.run("client closed")
 
 
 def test_one_line_of_figures_that_fails_is_not_the_last(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = Stage()
+    stage = Harness()
     with monkeypatch.context() as broken:
         broken.setattr(stage.loop.pool, "fetching", lambda: 1 / 0)
         with pytest.raises(ZeroDivisionError):
@@ -272,15 +272,15 @@
     monkeypatch: pytest.MonkeyPatch, is_ending: bool
 ) -> None:
     # At the end of the program it kept all other sessions open, and the process until it was killed.
-    stage = Stage()
+    stage = Harness()
     for name in ("client", "client2"):
-        stage.play(f"{name} send *1\\n$4\\nPING\\n\n {name} expect +PONG")
+        stage.run(f"{name} send *1\\n$4\\nPING\\n\n {name} expect +PONG")
     odd = stage.wire("client").protocol
     for step in ("overdue", "part"):
         monkeypatch.setattr(odd, step, lambda *_: 1 / 0)
     if is_ending:
         stage.program.stop()
     stage.wait(3000)
-    stage.play("client closed\n client2 closed")
+    stage.run("client closed\n client2 closed")
     assert [line["event"] for line in stage.logged].count("fault") == 1
     assert stage.net.stopped is is_ending
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -10,7 +10,7 @@
 from unittest.mock import Mock
 
 import pytest
-from scenario import Stage
+from scenario import Harness
 from standin import SAFE, SITE
 
 from scalelb.policy.settings import DeduplicationScope, Idempotency, RequestClass
@@ -30,14 +30,14 @@
 def test_what_waits_for_its_connection_is_written_only_if_it_is_still_wanted(what: str, cancel: bool) -> None:
     # Without the look in `BackendConnection.begin` it was written: for a client that had gone (where the
     # settings allow no cancelling), to a backend that drained.
-    stage = Stage(backends=1, cancels_attempts=cancel)
+    stage = Harness(backends=1, cancels_attempts=cancel)
     most, then = WHILE_DIALLING[what]
-    stage.play(f"hold backend\n client send {{call(1, wait={most})}}\n director expect GET")
+    stage.run(f"hold backend\n client send {{call(1, wait={most})}}\n director expect GET")
     if not then:
         session = stage.wire("client").protocol
         session.pause()
         session.hung_up = lambda: True
-    stage.play(f"{then}\n release backend\n backend silent\n wait 3100")
+    stage.run(f"{then}\n release backend\n backend expect-nothing\n wait 3100")
     assert stage.loop.core.counts.get("connect failed", 0) == 0  # nothing is held against the backend
     assert not stage.loop.core.open_requests
     assert not stage.loop.core.limiter.requests
@@ -47,36 +47,36 @@
     # Seen on zone+brink of a site with a window of 1 s: a repeat was decided 934 ms after the first attempt,
     # its connection came up 138 ms later, and the group had forgotten the key: it ran twice.
     keyed = RequestClass(400.0, 4000.0, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 300.0)
-    stage = Stage(backends=2, request_classes=(SAFE, keyed))
-    stage.play("client send {call(1, 'record-answer', wait=3900, key='a')}")
+    stage = Harness(backends=2, request_classes=(SAFE, keyed))
+    stage.run("client send {call(1, 'record-answer', wait=3900, key='a')}")
     [first] = [name for name in ("backend", "backend1") if name in stage.net.wires]
     [other] = {"backend", "backend1"} - {first}
     wire = stage.net.wires[first][0]
     assert b"CALL.POST" in wire.value()
-    stage.net.hold.add(other)
+    stage.net.held_peers.add(other)
     stage.wait(200)
     wire.end()
     stage.wait(20)
-    assert [held.name for held in stage.net.held] == [other]  # the repeat is decided and waits
+    assert [held.name for held in stage.net.pending_connectors] == [other]  # the repeat is decided and waits
     stage.wait(120)
     stage.net.release(other)
     assert stage.net.wires[other][0].value() == b""
-    stage.play("wait 50\n client expect -")
+    stage.run("wait 50\n client expect -")
 
 
 def test_what_is_left_of_the_time_is_told_when_it_is_written() -> None:
-    stage = Stage(backends=1)
-    stage.play("hold backend\n client send {call(1, wait=5000)}\n wait 100\n release backend")
-    stage.play("backend expect d=900,")  # of the patience of 1 s
+    stage = Harness(backends=1)
+    stage.run("hold backend\n client send {call(1, wait=5000)}\n wait 100\n release backend")
+    stage.run("backend expect d=900,")  # of the patience of 1 s
 
 
 def test_a_connection_closed_for_room_leaves_its_place_at_once() -> None:
     # The place of an idle connection was free only a round of the loop later: the attempt that it was closed
     # for failed as unconnected meanwhile, and its backend was left out for that.
-    stage = Stage(backends=2)
-    stage.play("client send {call(1)}")
+    stage = Harness(backends=2)
+    stage.run("client send {call(1)}")
     [used] = [name for name in stage.net.wires if name.startswith("backend")]
-    stage.play(f"{used} send {{SERVED}}\n client expect ok")
+    stage.run(f"{used} send {{SERVED}}\n client expect ok")
     pool = stage.loop.pool
     pool.limits = replace(pool.limits, connections=1)
     stage.wire(used).abortConnection = lambda: None  # the transport closes its socket in a later round
@@ -90,35 +90,35 @@
 
 
 def test_a_fetch_that_finds_no_place_here_is_not_held_against_its_backend() -> None:
-    stage = Stage(backends=1)
+    stage = Harness(backends=1)
     stage.loop.pool.limits = replace(stage.loop.pool.limits, each=0)
-    stage.play("client send {call(1)}")
+    stage.run("client send {call(1)}")
     [server] = stage.loop.core.limiter.selector.endpoints.values()
     assert (server.connect_failures, server.ejected_until) == (0, 0.0)
 
 
 def test_an_unsafe_request_that_may_have_run_is_answered_at_once() -> None:
     unsafe = replace(SITE.request_classes[1], idempotency=Idempotency.NOT_IDEMPOTENT)
-    stage = Stage(backends=2, request_classes=(SAFE, unsafe))
-    stage.play("client send {call(1, 'record-answer', wait=3900)}")
+    stage = Harness(backends=2, request_classes=(SAFE, unsafe))
+    stage.run("client send {call(1, 'record-answer', wait=3900)}")
     [used] = [name for name in stage.net.wires if name.startswith("backend")]
-    stage.play(f"{used} expect CALL.POST\n {used} close\n client expect -ERR failed")
+    stage.run(f"{used} expect CALL.POST\n {used} close\n client expect -ERR failed")
 
 
 def test_a_stop_while_the_director_is_dialled_ends_the_program() -> None:
     # The last step of the stop called a connection that was not there yet: it raised, and the process stayed.
-    stage = Stage()
-    stage.play("hold director\n director close\n wait 50")
-    assert [held.name for held in stage.net.held] == ["director"]
+    stage = Harness()
+    stage.run("hold director\n director close\n wait 50")
+    assert [held.name for held in stage.net.pending_connectors] == ["director"]
     stage.program.stop()
     stage.wait(1000)
     assert stage.net.stopped
-    assert not stage.net.held[0].under_way
+    assert not stage.net.pending_connectors[0].is_pending
 
 
 def test_a_later_life_that_is_told_to_go_before_it_took_over_lets_nobody_in() -> None:
     # Its look for the account of the life before went on after the end had begun, and opened the door anew.
-    stage = Stage()
+    stage = Harness()
     program = stage.program
     said = {
         "read_overrides": [],
@@ -137,10 +137,10 @@
 @pytest.mark.parametrize("shared", [False, True])
 def test_who_waits_at_a_socket_of_two_lives_is_left_to_the_other(shared: bool) -> None:
     # The old life has handed its account over: what it took at its end it would have to refuse.
-    stage = Stage()
-    door = stage.door
+    stage = Harness()
+    door = stage.listener
     door.port = Mock()
-    door.port.doRead = lambda: door.buildProtocol(None) and stage.net.join("client", door)
+    door.port.doRead = lambda: door.buildProtocol(None) and stage.net.connect("client", door)
     came = len(door.sessions)
     door.sessions_most = 20 - SPARE + came
     door.shut(shared)
@@ -158,20 +158,20 @@
 ) -> None:
     # Seen in a soak on a busy machine: a request that came 0.708 s after SIGTERM was open at the kill. A
     # session that owes an answer is read on, so what follows on it may come until the kill.
-    stage = Stage(backends=1)
-    stage.play("client send {call(1, wait=7000)}")
+    stage = Harness(backends=1)
+    stage.run("client send {call(1, wait=7000)}")
     signalled_at = stage.loop.clock()
     stage.wait(held_up_ms)
     stage.program.stop(signalled_at)
     stage.wait(came_ms - held_up_ms)
-    stage.play("client send {call(2, wait=7000)}")
+    stage.run("client send {call(2, wait=7000)}")
     stage.wait(KILL_MS - came_ms - 150.0)  # the limiter may be held up for so long before it writes
     answers = stage.wire("client").value()
     assert answers.count(b"\r\n") == 2, answers
 
 
 def test_a_limiter_ends_by_itself_though_its_clients_send_until_the_kill() -> None:
-    stage = Stage(backends=1)
+    stage = Harness(backends=1)
     stage.program.stop()
     sent = 0
     while not stage.net.stopped:
@@ -179,13 +179,13 @@
         wire = stage.wire("client")
         if not wire.ended:
             sent += 1
-            stage.play(f"client send {{call({sent}, wait=7000)}}")
+            stage.run(f"client send {{call({sent}, wait=7000)}}")
         stage.wait(100)
     assert sent > 30
     assert stage.wire("client").value().count(b"\r\n") == sent
 
 
 def test_a_limiter_is_killed_the_earlier_the_shorter_its_longest_deadline() -> None:
-    stage = Stage(request_classes=(replace(SAFE, deadline_ms=2000.0),), kind_names=("fetch-cards",))
+    stage = Harness(request_classes=(replace(SAFE, deadline_ms=2000.0),), kind_names=("fetch-cards",))
     assert stage.program.kill_after_s() == pytest.approx(2.7)
-    assert Stage().program.kill_after_s() == pytest.approx(KILL_MS / 1000)
+    assert Harness().program.kill_after_s() == pytest.approx(KILL_MS / 1000)
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from scenario import Net, Stage, call, entry
+from scenario import Harness, MemoryNetwork, call, entry
 
 from scalelb.program.__main__ import Program
 from scalelb.program.config import Config, ConfigError
@@ -24,7 +24,7 @@
     "a request is passed on and its value comes back": """
         client send {call(1)}
         backend expect CALL.GET\\n$16\\n00000000000000ad\\n$16\\n0000000000000001\\n
-        client silent
+        client expect-nothing
         backend send {SERVED}
         client expect $2\\nok\\n
         """,
@@ -40,7 +40,7 @@
         client send {call(1)[31:]}
         backend expect CALL.GET
         backend send {SERVED[:5]}
-        client silent
+        client expect-nothing
         backend send {SERVED[5:]}
         client expect $2\\nok\\n
         """,
@@ -49,7 +49,7 @@
         backend expect 0000000000000001
         backend2 expect 0000000000000002
         backend2 send {SERVED}
-        client silent
+        client expect-nothing
         backend send *3\\n$3\\none\\n$-1\\n$-1\\n
         client expect $3\\none\\n$2\\nok\\n
         """,
@@ -91,7 +91,7 @@
         client send {call(1, 'record-answer', wait=400, key='a')}
         backend expect d=38
         wait 380
-        client silent
+        client expect-nothing
         wait 10
         client expect -BUSY
         backend closed
@@ -129,7 +129,7 @@
     "nonsense waits for the answers before it": """
         client send {call(1) + '$$$'}
         backend expect CALL.GET
-        client silent
+        client expect-nothing
         backend send {SERVED}
         client expect $2\\nok\\n-ERR malformed
         client closed
@@ -255,7 +255,7 @@
         director2 send {listing(3, entry(0, 'draining'), entry(1), full=False)[60:]}
         director2 expect from=3&hold_ms=3000
         wait 3900
-        director2 silent
+        director2 expect-nothing
         """,
     "a director that talks nonsense is called again": """
         director send HTTP/1.1 200 OK\\nContent-Length: 2\\n\\n[]
@@ -276,7 +276,7 @@
         director send {listing(2, entry(0, 'draining'), entry(1), full=False)}
         client2 send {call(2)}
         backend@1 expect 0000000000000002
-        backend silent
+        backend expect-nothing
         backend send {SERVED}
         client expect $2\\nok\\n
         """,
@@ -333,8 +333,8 @@
 
 @pytest.mark.parametrize("name", STORIES)
 def test_story(name: str) -> None:
-    stage = Stage(backends=1)
-    stage.play(STORIES[name])
+    stage = Harness(backends=1)
+    stage.run(STORIES[name])
     # The decisions' view is that of the sockets: attempts out, load, and which backends there are.
     limiter, pool = stage.loop.core.limiter, stage.loop.pool
     retired = [w for w in stage.net.wires.get("backend", []) if not w.ended and not w.protocol.backend.listed]
@@ -348,18 +348,18 @@
 
 @pytest.mark.parametrize("said", ["Content-Length: 3\\n\\nnan", "Content-Length: x", "Content-Length: 0\\n"])
 def test_a_spoilt_answer_of_the_counter_is_told_at_once_and_ends_its_connection(said: str) -> None:
-    stage = Stage()
+    stage = Harness()
     stage.loop.add_to_counter(7, 2.0, 1000.0)
-    stage.play(f"wait 0\n counter expect POST\n counter send HTTP/1.1 200 OK\\n{said}\\n\n counter closed")
+    stage.run(f"wait 0\n counter expect POST\n counter send HTTP/1.1 200 OK\\n{said}\\n\n counter closed")
     assert stage.loop.core.counts == {"counter error": 1}
     stage.loop.add_to_counter(7, 2.0, 1000.0)
-    stage.play("wait 0\n counter2 send HTTP/1.1 100 Continue\\n\\nHTTP/1.1 200 OK\\nContent-Length: 1\\n\\n6")
+    stage.run("wait 0\n counter2 send HTTP/1.1 100 Continue\\n\\nHTTP/1.1 200 OK\\nContent-Length: 1\\n\\n6")
     assert stage.loop.core.counts == {"counter error": 1, "counter ok": 1}
 
 
 def test_a_backend_is_gone_once_another_has_its_address() -> None:
     # Guards the cold rule: both ids would be sent a share, to the one machine that has just started.
-    stage = Stage(backends=2)
+    stage = Harness(backends=2)
     loop, limiter = stage.loop, stage.loop.core.limiter
     for at, full, entries, left in (
         (2, False, [{**entry(0, started=1e6), "instanceId": "s9"}], ["s1", "s9"]),
@@ -377,34 +377,34 @@
 
 def test_a_connection_with_unread_bytes_or_no_rest_is_not_the_next() -> None:
     # Guards the next request: what a backend wrote behind its reply may be in the kernel, or under way.
-    stage = Stage()
-    stage.play("client send {call(1) + call(2)}\n backend send {SERVED}")
-    stage.play("wait 20\n backend2 send {SERVED}")
-    stage.play("client send {call(3)}\n backend expect 0000000000000003\n backend send {SERVED}\n wait 20")
+    stage = Harness()
+    stage.run("client send {call(1) + call(2)}\n backend send {SERVED}")
+    stage.run("wait 20\n backend2 send {SERVED}")
+    stage.run("client send {call(3)}\n backend expect 0000000000000003\n backend send {SERVED}\n wait 20")
     [backend] = stage.loop.pool.backends.values()
     backend.idle[-1].unread = lambda: True  # type: ignore[method-assign]
-    stage.play("client send {call(4)}\n backend closed\n backend2 expect 0000000000000004")
+    stage.run("client send {call(4)}\n backend closed\n backend2 expect 0000000000000004")
 
 
 def test_what_waits_for_a_connection_to_a_backend_that_is_gone_is_not_written() -> None:
-    stage = Stage(backends=1)
+    stage = Harness(backends=1)
     ends: list[str] = []
     stage.loop.pool.fetch("s0", lambda: b"early", lambda result: ends.append(result.outcome.value))
     stage.loop.told(2, True, [{**entry(0), "instanceId": "s9"}])
     assert ends == ["moot"]  # never sent, and nothing is held against the backend
-    stage.play("wait 5\n backend closed\n backend silent")
+    stage.run("wait 5\n backend closed\n backend expect-nothing")
 
 
 def test_tables_are_empty_again_after_customers_that_came_once() -> None:
     # Seen on the long day: 28 MB after a quarter, 36 MB at the end, with customers kept for 60 s.
-    stage = Stage(backends=1)
+    stage = Harness(backends=1)
     limiter = stage.loop.core.limiter
     for number in range(50):
         swap = ("00000000000000ad", f"{number:016x}")
         stage.wire(f"client{number + 1}").protocol.dataReceived(
             call(number, swap=swap).replace("\n", "\r\n").encode()
         )
-    assert len(stage.door.idents) == 50
+    assert len(stage.listener.idents) == 50
     for _ in range(30):
         stage.wait(1000)
         for wire in stage.net.wires.get("backend", []) + stage.net.wires.get("counter", []):
@@ -416,9 +416,9 @@
     assert not limiter.leases.calls
     assert not stage.loop.core.open_requests
     assert not stage.loop.core.timers.entries[2:]
-    assert not stage.door.idents
-    assert not stage.door.sessions
-    assert stage.door.held == 0
+    assert not stage.listener.idents
+    assert not stage.listener.sessions
+    assert stage.listener.held == 0
     counter: Any = stage.loop.counter
     assert stage.loop.pool.total == 0
     assert not counter.open
@@ -428,8 +428,8 @@
 def test_a_director_that_has_no_room_is_left_in_peace_for_a_while() -> None:
     # Seen with 40 limiters: 400 calls a second for 25 s, and nobody was told anything.  Not for longer
     # than 3 s: what it has counts as told 6 s later, also where it refused (13 s went by before the next).
-    stage = Stage(limiter_count=40, subscribes_to_endpoints=True)
-    stage.play("""
+    stage = Harness(limiter_count=40, subscribes_to_endpoints=True)
+    stage.run("""
         director send {listing(2, entry(0))}
         director expect from=2
         director send HTTP/1.1 503 Busy\\nContent-Length: 0\\n\\n
@@ -437,8 +437,8 @@
         wait 600
         """)
     with pytest.raises(AssertionError, match="there are 1 to director"):
-        stage.play("director2 silent")
-    stage.play("""
+        stage.run("director2 expect-nothing")
+    stage.run("""
         wait 2500
         director2 expect from=2&hold_ms=1 HTTP
         """)
@@ -446,8 +446,8 @@
 
 def test_a_limiter_with_a_list_asks_for_what_changed_since_when_its_turn_comes() -> None:
     # Seen at a release: 28 limiters that started together each asked for the whole list, then to watch it.
-    stage = Stage(generation=7, subscribes_to_endpoints=True)
-    stage.play("""
+    stage = Harness(generation=7, subscribes_to_endpoints=True)
+    stage.run("""
         wait 700
         director expect GET /v1/endpoints?from=7&hold_ms=3000
         director send {listing(8, entry(0, 'draining'), entry(1), full=False)}
@@ -458,8 +458,8 @@
 def test_the_agent_of_this_machine_is_asked_at_once_and_again_when_it_is_silent() -> None:
     # Seen at a release of 214 limiters: n5 had a list and asked up to 21 s later, while 15 more backends
     # drained. The second wait: a change counts as told 6 s after the agent had it.
-    stage = Stage(generation=7, limiter_count=214)
-    stage.play("""
+    stage = Harness(generation=7, limiter_count=214)
+    stage.run("""
         wait 0
         director expect GET /v1/endpoints?from=7&hold_ms=3000
         wait 4100
@@ -473,9 +473,9 @@
     # Seen at a release of 206 limiters: the port was bound before the loop ran, the kernel took connections,
     # and commands were read up to 0.45 s after they were sent; their clients had left by the time of the
     # answer: 4 to 24 lost requests a day.
-    net: Any = Net()
+    net: Any = MemoryNetwork()
     logged: list[str] = []
-    program = Program(Stage().program.config, net, lambda: 1e6, lambda event, **_: logged.append(event))
+    program = Program(Harness().program.config, net, lambda: 1e6, lambda event, **_: logged.append(event))
     program.begin()
     for _ in range(10):
         net.advance(0)
@@ -489,8 +489,8 @@
 
 
 def test_an_address_that_is_taken_ends_the_start_with_2(monkeypatch: pytest.MonkeyPatch) -> None:
-    net: Any = Net()
-    stage = Stage()
+    net: Any = MemoryNetwork()
+    stage = Harness()
     program = Program(stage.program.config, net, stage.program.loop.clock, stage.log)
     logged = stage.logged
 
@@ -506,24 +506,24 @@
 
 
 def test_before_it_is_ready_a_ping_is_not_answered_with_pong() -> None:
-    stage = Stage(known=False)
-    stage.play("client send *1\\n$4\\nPING\\n\n client expect -ERR not ready")
-    stage.play("director send {listing(1, entry(0))}\n client send *1\\n$4\\nPING\\n\n client expect +PONG")
+    stage = Harness(known=False)
+    stage.run("client send *1\\n$4\\nPING\\n\n client expect -ERR not ready")
+    stage.run("director send {listing(1, entry(0))}\n client send *1\\n$4\\nPING\\n\n client expect +PONG")
 
 
 def test_an_old_list_serves_while_the_director_is_silent() -> None:
-    stage = Stage(known=False)
+    stage = Harness(known=False)
     stage.loop.told(1, True, [entry(0)])
     stage.program.set_ready()
-    stage.play("wait 5000\n client send {call(1)}\n backend expect CALL.GET")
+    stage.run("wait 5000\n client send {call(1)}\n backend expect CALL.GET")
 
 
 def test_sigterm_goes_on_for_a_while_then_finishes_and_ends() -> None:
     # Guards the hand-over: the front goes on sending for up to 0.4 s, as does every client with a connection.
-    stage = Stage(backends=1)
-    stage.play("client send {call(1)}\n backend expect CALL.GET")
+    stage = Harness(backends=1)
+    stage.run("client send {call(1)}\n backend expect CALL.GET")
     stage.program.stop()
-    stage.play(
+    stage.run(
         """
         wait 650
         client2 send {call(2)}
@@ -531,13 +531,13 @@
         client2 expect $2\\nok
         wait 100
         client2 closed
-        client silent
+        client expect-nothing
         """
     )
     assert not stage.net.stopped
-    stage.play("backend send {SERVED}\n client expect $2\\nok\n client closed\n wait 50")
+    stage.run("backend send {SERVED}\n client expect $2\\nok\n client closed\n wait 50")
     assert stage.net.stopped
-    stage.play("wait 2000\n director closed")
+    stage.run("wait 2000\n director closed")
 
 
 MOVES = {
@@ -558,41 +558,41 @@
 
 @pytest.mark.parametrize("name", MOVES)
 def test_sighup_moves_director_and_counter(name: str) -> None:
-    stage = Stage(backends=1)
-    stage.play("director send {listing(2, entry(0))}\n client send {call(8, units=6)}")
-    stage.play("counter expect POST\n counter send HTTP/1.1 200 OK\\nContent-Length: 1\\n\\n6\n wait 20")
-    stage.play("backend send {SERVED}\n wait 40")
+    stage = Harness(backends=1)
+    stage.run("director send {listing(2, entry(0))}\n client send {call(8, units=6)}")
+    stage.run("counter expect POST\n counter send HTTP/1.1 200 OK\\nContent-Length: 1\\n\\n6\n wait 20")
+    stage.run("backend send {SERVED}\n wait 40")
     stage.reload(director="127.0.0.1:7001", counter="127.0.0.1:7101")
     assert stage.logged[-1] == {"event": "reloaded", "moved": ["discovery", "counter"], "at_next_start": []}
-    stage.play(MOVES[name])
+    stage.run(MOVES[name])
     stage.loop.add_to_counter(7, 2.0, 1000.0)  # the idle connection to the old address is left
-    stage.play("counter closed\n counter@1 expect Host: 127.0.0.1:7101")
+    stage.run("counter closed\n counter@1 expect Host: 127.0.0.1:7101")
 
 
 def test_sighup_drops_no_request_and_no_counter_call_under_way() -> None:
-    stage = Stage(backends=1)
-    stage.play("client send {call(1, units=6)}\n counter expect POST\n backend expect CALL.GET")
+    stage = Harness(backends=1)
+    stage.run("client send {call(1, units=6)}\n counter expect POST\n backend expect CALL.GET")
     stage.reload(director="127.0.0.1:7001", counter="127.0.0.1:7101")
     stage.reload(director="127.0.0.1:7000", counter="127.0.0.1:7100")  # and twice in a row
-    stage.play("counter send HTTP/1.1 200 OK\\nContent-Length: 1\\n\\n6\n wait 10")
+    stage.run("counter send HTTP/1.1 200 OK\\nContent-Length: 1\\n\\n6\n wait 10")
     assert stage.loop.core.counts["counter ok"] == 1
-    stage.play("backend send {SERVED}\n client expect $2\\nok\n director1 closed\n director2 expect GET")
+    stage.run("backend send {SERVED}\n client expect $2\\nok\n director1 closed\n director2 expect GET")
     stage.program.stop()
-    stage.play("wait 800\n client closed\n wait 50")
+    stage.run("wait 800\n client closed\n wait 50")
     assert stage.net.stopped
 
 
 def test_a_counter_call_that_waits_for_its_connection_moves_with_the_counter() -> None:
-    stage = Stage(backends=1)
-    stage.net.refuse.add("counter")
+    stage = Harness(backends=1)
+    stage.net.refused_peers.add("counter")
     stage.loop.add_to_counter(7, 2.0, 1000.0)
     stage.loop.move_counter("127.0.0.1:7101")
-    stage.play("wait 5\n counter@1 expect POST /v2/numbers/7?delta=2&life_ms=1000\n")
+    stage.run("wait 5\n counter@1 expect POST /v2/numbers/7?delta=2&life_ms=1000\n")
     assert "counter connect failed" not in stage.loop.core.counts
 
 
 def test_a_faulty_file_is_logged_by_its_key_and_the_old_one_stays() -> None:
-    stage = Stage(backends=1)
+    stage = Harness(backends=1)
     before = stage.program.config
 
     def faulty() -> Config:
@@ -602,7 +602,7 @@
     stage.program.reload()
     assert stage.logged[-1]["what"] == "counter: must be host:port, not 7"
     assert stage.program.config is before
-    stage.play("director send {listing(2, entry(0))}\n director expect from=2")
+    stage.run("director send {listing(2, entry(0))}\n director expect from=2")
 
 
 @pytest.mark.parametrize(
@@ -615,9 +615,9 @@
     ],
 )  # fmt: skip
 def test_malformed_input_ends_its_connection_only(bad: str) -> None:
-    stage = Stage()
-    stage.play(f"client send {bad}\n client expect -ERR\n client closed")
-    stage.play("client2 send *1\\n$4\\nPING\\n\n client2 expect +PONG")
+    stage = Harness()
+    stage.run(f"client send {bad}\n client expect -ERR\n client closed")
+    stage.run("client2 send *1\\n$4\\nPING\\n\n client2 expect +PONG")
     assert not stage.loop.core.open_requests
     assert not stage.loop.core.limiter.tenants.tenants  # nothing of it was charged
 
@@ -642,7 +642,7 @@
 
 @pytest.mark.parametrize(("old", "new"), [(old, new) for old, some in SWAPS.items() for new in some])
 def test_a_value_out_of_range_is_told_before_anything_is_charged_or_sent(old: str, new: str) -> None:
-    stage = Stage()
+    stage = Harness()
     stage.wire("client").protocol.dataReceived(call(1, swap=(old, new)).replace("\n", "\r\n").encode())
     stage.wait(0)
     said = stage.wire("client").value().decode()
@@ -655,8 +655,8 @@
 
 
 def test_a_fetch_whose_last_byte_was_not_written_never_ran() -> None:
-    stage = Stage(backends=2)
-    stage.play("client send " + "{call(1, 'record-answer', key='a')}")
+    stage = Harness(backends=2)
+    stage.run("client send " + "{call(1, 'record-answer', key='a')}")
     [(name, wires)] = [(n, w) for n, w in stage.net.wires.items() if n.startswith("backend")]
     wires[0].protocol.flushed = False  # the kernel took a part of it
     wires[0].end()
@@ -667,19 +667,19 @@
 def test_sessions_are_bounded_and_the_idle_make_room() -> None:
     # Seen in a day's log: 153 of 153 sessions, most of them silent; the oldest idle one was closed for each
     # that joined, also while its request was just arriving.
-    stage = Stage(sockets=64)
-    door, port = stage.door, stage.door.port
+    stage = Harness(sockets=64)
+    door, port = stage.listener, stage.listener.port
     assert door.sessions_most == 11
     for number in range(1, 30):
-        stage.play(f"client{number} send *1\\n$4\\nPING\\n")
+        stage.run(f"client{number} send *1\\n$4\\nPING\\n")
     assert port.pauseProducing.called
     assert not port.resumeProducing.called
     for _ in range(20):
-        stage.net.join("client", door)
+        stage.net.connect("client", door)
     assert len(door.sessions) == 11 + SPARE  # more of one round were closed at once
-    stage.play("client29 send {call(1)}\n wait 300")
+    stage.run("client29 send {call(1)}\n wait 300")
     assert len(door.sessions) == 29  # the silent ones are gone, those that spoke have a while
-    stage.play("client29 send {call(2)}\n wait 500\n client closed")
+    stage.run("client29 send {call(2)}\n wait 500\n client closed")
     assert len(door.sessions) < 12
     assert port.resumeProducing.called
     assert not stage.net.wires["client"][28].ended
@@ -687,25 +687,25 @@
 
 def test_a_queue_of_silent_clients_is_let_in_and_out_quickly() -> None:
     # Seen on a rude day: sessions at their most for over a second, 45 requests of others never taken up.
-    stage = Stage(sockets=64)
+    stage = Harness(sockets=64)
     for round_number in (1, 2):
         for _ in range(14):
-            stage.net.join("client", stage.door)
-        assert stage.door.full
+            stage.net.connect("client", stage.listener)
+        assert stage.listener.full
         stage.wait(330)
-        assert not stage.door.full
-        assert stage.door.port.resumeProducing.call_count >= round_number
+        assert not stage.listener.full
+        assert stage.listener.port.resumeProducing.call_count >= round_number
 
 
 def test_those_that_ask_once_and_stay_make_room_while_others_wait() -> None:
     # Seen in a trace of that day: for 2 s all but a dozen of 208 sessions had asked once and stayed.
-    stage = Stage(sockets=64)
+    stage = Harness(sockets=64)
     for number in range(1, 13):
-        stage.play(f"client{number} send *1\\n$4\\nPING\\n")
+        stage.run(f"client{number} send *1\\n$4\\nPING\\n")
     stage.wait(500)
-    assert stage.door.full
-    stage.play("client12 send *1\\n$4\\nPING\\n\n wait 350\n client closed")
-    assert not stage.door.full
+    assert stage.listener.full
+    stage.run("client12 send *1\\n$4\\nPING\\n\n wait 350\n client closed")
+    assert not stage.listener.full
     assert not stage.net.wires["client"][11].ended
 
 
@@ -714,30 +714,30 @@
     # idle ones that had asked once, and 200 requests in 5 s found no connection, though there was room here.
     left = {}
     for many in (8, 30):
-        stage = Stage(sockets=96)  # a third is 32
+        stage = Harness(sockets=96)  # a third is 32
         for number in range(1, many + 1):
-            stage.play(f"client{number} send *1\\n$4\\nPING\\n")
+            stage.run(f"client{number} send *1\\n$4\\nPING\\n")
         stage.wait(1000)
-        left[many] = len(stage.door.sessions)
+        left[many] = len(stage.listener.sessions)
         stage.wait(1500)
-        assert not stage.door.sessions
+        assert not stage.listener.sessions
     assert left == {8: 8, 30: 0}
 
 
 def test_a_request_that_is_just_arriving_keeps_its_session(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = Stage()
-    stage.play("client send *1\\n$4\\nPING\\n")
-    [session] = stage.door.sessions
+    stage = Harness()
+    stage.run("client send *1\\n$4\\nPING\\n")
+    [session] = stage.listener.sessions
     monkeypatch.setattr(session, "unread", lambda: True)
-    stage.play("wait 5000\n client send {call(1)}\n backend send {SERVED}\n client expect $2\\nok")
+    stage.run("wait 5000\n client send {call(1)}\n backend send {SERVED}\n client expect $2\\nok")
     monkeypatch.undo()
-    stage.play("wait 2000\n client send {call(2)[:20]}\n wait 1000\n client silent")
-    stage.play("client send {call(2)[20:]}")
-    stage.play("backend send {SERVED}\n client expect $2\\nok\n wait 2400\n client closed")
+    stage.run("wait 2000\n client send {call(2)[:20]}\n wait 1000\n client expect-nothing")
+    stage.run("client send {call(2)[20:]}")
+    stage.run("backend send {SERVED}\n client expect $2\\nok\n wait 2400\n client closed")
 
 
 LIMITS = {
-    "one that says nothing is closed": "wait 2200\n client closed\n client silent",
+    "one that says nothing is closed": "wait 2200\n client closed\n client expect-nothing",
     "half a command is told, however its rest trickles in": """
         client send {call(1)[:9]}
         wait 1300
@@ -754,18 +754,18 @@
     "nonsense behind a request is told though its answer takes long": """
         client send {call(1) + 'x'}
         wait 600
-        client silent
+        client expect-nothing
         wait 700
         client expect -ERR failed\\n-ERR malformed
         client closed
         backend closed
         """,
     "one that sends on after its last answer is skipped, then cut off": """
-        client rude
+        client ignore-close
         client send {'k' * 400000}
         client expect -ERR malformed
         client send {call(1)}
-        client silent
+        client expect-nothing
         wait 800
         client closed
         """,
@@ -774,49 +774,49 @@
 
 @pytest.mark.parametrize("name", LIMITS)
 def test_a_bad_client_is_told_or_closed_soon(name: str) -> None:
-    stage = Stage()
+    stage = Harness()
     stage.wire("client")
-    stage.play(LIMITS[name])
+    stage.run(LIMITS[name])
     assert not stage.loop.core.open_requests
-    assert not stage.door.idents
-    assert stage.door.held == 0
+    assert not stage.listener.idents
+    assert stage.listener.held == 0
 
 
 def test_a_session_that_still_owes_bytes_is_not_idle() -> None:
     # Guards the end of an answer: an idle session is ended at once, whatever its transport still holds.
-    stage = Stage()
-    stage.play("client send *1\\n$4\\nPING\\n")
-    [session] = stage.door.sessions
+    stage = Harness()
+    stage.run("client send *1\\n$4\\nPING\\n")
+    [session] = stage.listener.sessions
     session.flushed = False
     stage.program.finish()
-    stage.play("wait 7000")
+    stage.run("wait 7000")
     assert not stage.net.wires["client"][0].ended
     session.flushed = True
-    stage.play("wait 22000\n client closed")
+    stage.run("wait 22000\n client closed")
 
 
 def test_the_id_of_an_open_request_is_no_id() -> None:
-    stage = Stage()
-    stage.play("client send {call(7)}\n client2 send {call(7)}\n client2 expect -ERR malformed: the id\n")
-    stage.play("backend send {SERVED}\n client expect $2\\nok\n client send {call(7)}\n backend expect 0007")
+    stage = Harness()
+    stage.run("client send {call(7)}\n client2 send {call(7)}\n client2 expect -ERR malformed: the id\n")
+    stage.run("backend send {SERVED}\n client expect $2\\nok\n client send {call(7)}\n backend expect 0007")
 
 
 def test_bytes_of_open_requests_are_bounded_and_refused_with_the_time_to_come_back() -> None:
-    stage = Stage()
-    stage.door.held_most = 500
+    stage = Harness()
+    stage.listener.held_most = 500
     body = "B" * 300
-    stage.play(f"client send {{call(1, 'record-answer', key='a', body='{body}')}}\n client silent")
-    stage.play(f"client2 send {{call(2, 'record-answer', key='b', body='{body}')}}")
-    stage.play("client2 expect -BUSY 1000")
-    other = Stage(sends_retry_after=False)  # where the settings allow no advice, there is none
-    other.door.held_most = 0
-    other.play("client send {call(1)}\n client expect -BUSY\\n")
-    stage.play("backend send {SERVED}\n client expect $2\\nok")
-    assert stage.door.held == 0
+    stage.run(f"client send {{call(1, 'record-answer', key='a', body='{body}')}}\n client expect-nothing")
+    stage.run(f"client2 send {{call(2, 'record-answer', key='b', body='{body}')}}")
+    stage.run("client2 expect -BUSY 1000")
+    other = Harness(sends_retry_after=False)  # where the settings allow no advice, there is none
+    other.listener.held_most = 0
+    other.run("client send {call(1)}\n client expect -BUSY\\n")
+    stage.run("backend send {SERVED}\n client expect $2\\nok")
+    assert stage.listener.held == 0
 
 
 def test_a_client_that_only_sends_is_read_no_further() -> None:
-    stage = Stage()
+    stage = Harness()
     wire = stage.wire("client")
     wire.protocol.dataReceived("".join(call(n) for n in range(80)).replace("\n", "\r\n").encode())
     assert wire.producerState == "paused"
@@ -825,30 +825,30 @@
     # Seen by reading: reading was never begun again, as the transport alone was told to pause.
     assert wire.producerState == "producing"
     wire.clear()
-    stage.play("client send *1\\n$4\\nPING\\n\n client expect +PONG")
+    stage.run("client send *1\\n$4\\nPING\\n\n client expect +PONG")
 
 
 def test_a_fault_of_the_decisions_is_logged_and_the_limiter_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the loop: a fault in one turn left the core without a timer, and nothing was answered any more.
-    stage = Stage()
+    stage = Harness()
     limiter = stage.loop.core.limiter
     with monkeypatch.context() as broken:
         broken.setattr(limiter, "handle_all", lambda now, events: 1 / 0)
-        stage.play("client send {call(1, wait=500)}")
+        stage.run("client send {call(1, wait=500)}")
     assert [line["event"] for line in stage.logged if line["event"] == "fault"]
     stage.wait(600)
-    stage.play("client expect -ERR failed")
-    stage.play("client2 send {call(2)}\n backend send {SERVED}\n client2 expect $2\\nok")
+    stage.run("client expect -ERR failed")
+    stage.run("client2 send {call(2)}\n backend send {SERVED}\n client2 expect $2\\nok")
 
 
 @pytest.mark.parametrize("length", [2, resp.VALUE_MOST + 1], ids=["whole", "flowing"])
 def test_the_units_of_a_guess_that_was_too_high_come_back(length: int) -> None:
     left = []
     for told in ("$-1\\n", "$14\\nused=37,cost=1\\n", "$6\\ncost=7\\n"):  # a request has 6 units at most
-        stage = Stage(backends=1, settles_true_units=True, has_counter=False)
-        stage.play("client send {call(1, units=6)}\n backend expect CALL.GET")
-        stage.play(f"backend send *3\\n${length}\\n{'v' * length}")
-        stage.play(f"backend send \\n{told}\n backend send $-1\\n")
+        stage = Harness(backends=1, settles_true_units=True, has_counter=False)
+        stage.run("client send {call(1, units=6)}\n backend expect CALL.GET")
+        stage.run(f"backend send *3\\n${length}\\n{'v' * length}")
+        stage.run(f"backend send \\n{told}\n backend send $-1\\n")
         [customer] = stage.loop.core.limiter.tenants.tenants.values()
         assert stage.loop.core.counts["served"] == 1
         assert not stage.loop.core.limiter.attempts
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -11,7 +11,7 @@
 from fleet import Fleet
 from hypothesis import given
 from hypothesis import strategies as st
-from scenario import Stage
+from scenario import Harness
 
 from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.core.endpoint_overrides import MAX_OVERRIDES, EndpointOverrides, Override
@@ -30,7 +30,7 @@
         client expect dddd
         backend send {'e' * 99997}
         client expect eeee
-        client silent
+        client expect-nothing
         backend send \\n$-1\\n$-1\\n
         client expect \\n
         client send {call(2)}
@@ -58,7 +58,7 @@
         client expect abc
         backend close
         client closed
-        backend2 silent
+        backend2 expect-nothing
         backend2 send *3\\n$2\\nok\\n$-1\\n$-1\\n
         client2 expect ok
         """,
@@ -84,7 +84,7 @@
         backend2 expect 0000000000000002
         backend2 send *3\\n$300000\\nabc
         backend2 paused
-        client silent
+        client expect-nothing
         backend send *3\\n$2\\nok\\n$-1\\n$-1\\n
         client expect $2\\nok\\n$300000\\nabc
         backend2 send {'d' * 299997}
@@ -120,12 +120,12 @@
 
 @pytest.mark.parametrize("name", FLOWS)
 def test_flow(name: str) -> None:
-    Stage(cancels_attempts=True).play(FLOWS[name])
+    Harness(cancels_attempts=True).run(FLOWS[name])
 
 
 def test_a_client_may_spend_two_seconds_on_a_head() -> None:
-    stage = Stage()
-    stage.play("""
+    stage = Harness()
+    stage.run("""
         client send {call(1)[:20]}
         wait 2000
         client send {call(1)[20:]}
@@ -134,8 +134,8 @@
 
 
 def test_the_figures_are_those_of_the_answers_that_went_out() -> None:
-    stage = Stage(cancels_attempts=True)
-    stage.play("""
+    stage = Harness(cancels_attempts=True)
+    stage.run("""
         client send {call(1)}
         backend expect CALL.GET
         backend send *3\\n$2\\nok\\n$-1\\n$-1\\n
@@ -146,23 +146,23 @@
         """)
     stats = stage.program.stats()
     assert (stats["active"], stats["pool_size"], stats["pool_ejected"]) == (2, 1, 0)
-    stage.play("wait 400\n client2 expect -BUSY")
+    stage.run("wait 400\n client2 expect -BUSY")
     told = stage.program.stats()["responses"]
     assert told["fetch-cards"] == {"ok": 1, "shed": 0, "errors": 0, "tries": 2}
     assert told["record-answer"] == {"ok": 0, "shed": 1, "errors": 0, "tries": 1}
-    stage.play("backend send *3\\n$300000\\nabc\n backend close\n client closed")
+    stage.run("backend send *3\\n$300000\\nabc\n backend close\n client closed")
     assert stage.program.stats()["responses"]["fetch-cards"]["errors"] == 1
     assert stage.program.stats()["active"] == 0
 
 
 def test_a_backend_out_by_hand_gets_nothing_whatever_the_list_says_and_comes_back_cold() -> None:
-    stage = Stage(backends=2)
+    stage = Harness(backends=2)
     assert stage.program.override_endpoint("s1", True) == 200
     assert stage.program.override_endpoint("s1", True) == 200
     assert stage.program.override_endpoint("nobody", True) == 404
-    stage.play("director expect GET\n director send {listing(2, entry(0), entry(1))}")
+    stage.run("director expect GET\n director send {listing(2, entry(0), entry(1))}")
     for ident in range(1, 9):
-        stage.play(f"client send {{call({ident}, swap=('0000ad', '0000a{ident}'))}}")
+        stage.run(f"client send {{call({ident}, swap=('0000ad', '0000a{ident}'))}}")
     assert "backend1" not in stage.net.wires
     assert stage.program.override_endpoint("s1", False) == 200
     stage.wait(0)
@@ -173,8 +173,8 @@
 class Caller:
     """A call at the operators' door, in memory."""
 
-    def __init__(self, stage: Stage, door: AdminDoor, text: bytes = b"") -> None:
-        self.wire: Any = stage.net.join("admin", door)
+    def __init__(self, stage: Harness, door: AdminDoor, text: bytes = b"") -> None:
+        self.wire: Any = stage.net.connect("admin", door)
         if text:
             self.wire.protocol.dataReceived(text)
 
@@ -210,7 +210,7 @@
     ids=lambda value: str(value)[:60],
 )
 def test_the_door_answers_each_call_once_and_ends_it(text: bytes, status: int) -> None:
-    stage = Stage()
+    stage = Harness()
     door = AdminDoor(stage.net, stage.program, stage.log)
     caller = Caller(stage, door, text)
     assert caller.status == status
@@ -220,12 +220,12 @@
     assert caller.wire.ended
     assert not door.callers
     assert door.calls == {status: 1}  # counted, for the log
-    stage.play("client send {call(1)}")
+    stage.run("client send {call(1)}")
     assert ("backend" in stage.net.wires) is (b"/s0/maint" not in text or status != 200)
 
 
 def test_callers_that_say_nothing_make_room_for_one_who_asks() -> None:
-    stage = Stage()
+    stage = Harness()
     door = AdminDoor(stage.net, stage.program, stage.log)
     silent = [Caller(stage, door) for _ in range(3 * CALLERS_MOST)]
     assert len(door.callers) == CALLERS_MOST
@@ -303,18 +303,18 @@
 
 
 def test_a_limiter_without_door_or_socket_reads_no_folder_and_writes_none() -> None:
-    stage = Stage()
+    stage = Harness()
     assert stage.program.incarnation is None
     assert stage.program.admin is None
 
 
 def test_what_is_read_ahead_of_slow_clients_is_bounded_over_all_of_them() -> None:
     # Guards the memory: many large values at once to clients that take nothing.
-    stage = Stage(backends=3)
+    stage = Harness(backends=3)
     door = stage.program.door
     door.ahead_most = 1_000_000
     for number in range(1, 13):
-        stage.play(f"client{number} send {{call({number}, swap=('0000ad', '00{number:02}ad'))}}")
+        stage.run(f"client{number} send {{call({number}, swap=('0000ad', '00{number:02}ad'))}}")
         stage.wire(f"client{number}").protocol.flushed = False  # the kernel takes no more
     fed = [wire for name, wires in stage.net.wires.items() if name.startswith("backend") for wire in wires]
     for wire in fed:
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -6,7 +6,7 @@
 
 import orjson
 import pytest
-from scenario import Net
+from scenario import MemoryNetwork
 
 from scalelb.replication import MalformedFrameError
 from scalelb.transport.peerlink import BYTES_S, HELLO_S, SHUN_S, UNHEARD_S, WRONG, PeerLinks
@@ -24,7 +24,7 @@
     """One limiter's links, and what it was told."""
 
     def __init__(self) -> None:
-        net: Any = Net()
+        net: Any = MemoryNetwork()
         self.net = net
         self.told: list[tuple[Any, ...]] = []
         self.logged: list[dict[str, Any]] = []
@@ -41,7 +41,7 @@
         self.told.append((name, message))
 
     def come(self, *messages: Any) -> Any:
-        wire = self.net.join("peer", self.links)
+        wire = self.net.connect("peer", self.links)
         for message in messages:
             if not wire.ended:
                 wire.protocol.dataReceived(words(message))
