--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""What a limiter learns of servers from little traffic, alone and over a fleet."""
+"""Outlier detection with little traffic per endpoint, at one limiter and over a fleet."""
 
 from __future__ import annotations
 
@@ -15,114 +15,121 @@
 OPEN = replace(METERED, rate_per_s=0.0, burst=0.0)
 
 
-def night(backends: int, took: object, seconds: float = 30.0, rate: float = 440.0) -> Fleet:
-    """40 gateways, 11 requests a second each."""
+def run_fleet(
+    backends: int, latency_ms: object, duration_s: float = 30.0, requests_per_s: float = 440.0
+) -> Fleet:
+    """Run 40 limiters that receive 11 requests per second each."""
     fleet = Fleet(40, backends=backends, plans=(OPEN,), max_attempts=4)
-    fleet.took = took  # type: ignore[assignment]
+    fleet.took = latency_ms  # type: ignore[assignment]
 
-    def next_one() -> None:
+    def submit_next() -> None:
         fleet.ask("c", fleet.random.randrange(40), 2.0)
-        fleet.at(1000 * fleet.random.expovariate(rate), next_one)
+        fleet.at(1000 * fleet.random.expovariate(requests_per_s), submit_next)
 
-    next_one()
-    fleet.run(1000 * seconds)
+    submit_next()
+    fleet.run(1000 * duration_s)
     return fleet
 
 
-def test_the_fleet_leaves_unreachable_servers_out() -> None:
-    # Seen at a release: 40% of all attempts went to 20 servers that were gone but still listed, each limiter
-    # trying each of them again within seconds, and the further attempts' budget was spent on them.
-    gone = {f"s{n}" for n in range(20)}
-    seen = night(60, lambda server: -1.0 if server in gone else 200.0).seen
-    assert seen["refused"] < 0.002 * seen["asked"]  # four attempts that all met one, at the start
-    assert (seen["sends"] - seen["asked"]) / seen["asked"] < 0.075
+def test_fleet_avoids_unreachable_endpoints() -> None:
+    # Guards against repeated attempts at endpoints that are gone but still listed: during a release, 40% of
+    # all attempts went to 20 such endpoints, as each limiter tried each of them again within seconds, and
+    # these attempts used up the retry budget.
+    unreachable = {f"s{n}" for n in range(20)}
+    counts = run_fleet(60, lambda endpoint: -1.0 if endpoint in unreachable else 200.0).seen
+    # At the start, all four attempts of a request may go to unreachable endpoints.
+    assert counts["refused"] < 0.002 * counts["asked"]
+    assert (counts["sends"] - counts["asked"]) / counts["asked"] < 0.075
 
 
-def test_one_silence_is_remembered_until_the_next_look() -> None:
-    # Seen with 40 limiters: an answer in 5 s, marks that fade in 5 s and weigh a fifth; the bad were found
-    # out by each of them, without end.
-    server = next(iter(Driver(count=1).limiter.selector.endpoints.values()))
-    lasts = outlier_detection.fault_memory_ms(90.0, 60)
-    server.record_outcome(0.0, Outcome.TIMEOUT, 1500.0, 170.0, lasts)
-    assert server.perceived_latency_ms(5500.0, 170.0, lasts, "") > 5 * 170.0
-    assert server.perceived_latency_ms(60_000.0, 170.0, lasts, "") < 1.2 * 170.0
+def test_single_timeout_is_remembered_until_the_next_answer_is_likely() -> None:
+    # Guards against rediscovering bad endpoints endlessly: each of 40 limiters received an answer of an
+    # endpoint every 5 s, but its weight was only a fifth and decayed within 5 s.
+    endpoint = next(iter(Driver(count=1).limiter.selector.endpoints.values()))
+    memory_ms = outlier_detection.fault_memory_ms(90.0, 60)
+    endpoint.record_outcome(0.0, Outcome.TIMEOUT, 1500.0, 170.0, memory_ms)
+    assert endpoint.perceived_latency_ms(5500.0, 170.0, memory_ms, "") > 5 * 170.0
+    assert endpoint.perceived_latency_ms(60_000.0, 170.0, memory_ms, "") < 1.2 * 170.0
 
 
-def test_a_server_that_can_not_be_reached_is_tried_again_at_growing_intervals() -> None:
-    d = Driver(count=1)
-    server = next(iter(d.limiter.selector.endpoints.values()))
-    pauses = []
+def test_unreachable_endpoint_is_ejected_for_increasing_intervals() -> None:
+    driver = Driver(count=1)
+    endpoint = next(iter(driver.limiter.selector.endpoints.values()))
+    ejections_ms = []
     for _ in range(8):
-        server.record_outcome(d.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
-        pauses.append(server.ejected_until - d.now)
-    assert pauses[0] == outlier_detection.MIN_EJECTION_MS
-    assert pauses[-1] == outlier_detection.MAX_EJECTION_MS
-    assert pauses == sorted(pauses)
-    server.record_outcome(d.now, Outcome.OK, 100.0, 100.0, 5000.0)
-    assert server.ejected_until == 0.0
-    server.record_outcome(d.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
-    d.give(EndpointsListed((replace(server.endpoint, started_at=d.now),), is_complete=True))
-    assert server.ejected_until == 0.0
-    assert server.latency_ms == d.limiter.estimates.latency_ms
-
-
-def test_a_failed_connect_spends_no_further_attempt() -> None:
-    # Nothing reached a server, so there is no jam that a further attempt could keep up.
-    d = Driver(replace(SETTINGS, max_attempts=4), count=3)
-    d.limiter.retries.budget.retries = 0.0
-    d.ask(plan_index=1)
-    d.end(d.sends()[0], Outcome.CONNECT_FAILED)
-    assert len(d.sends()) == 2
-    d.end(d.sends()[1], Outcome.TIMEOUT)
-    assert len(d.sends()) == 2
-
-
-def test_many_answers_keep_a_short_memory() -> None:
-    # Guards small fleets, which pay nothing for what thin traffic needs.
+        endpoint.record_outcome(driver.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
+        ejections_ms.append(endpoint.ejected_until - driver.now)
+    assert ejections_ms[0] == outlier_detection.MIN_EJECTION_MS
+    assert ejections_ms[-1] == outlier_detection.MAX_EJECTION_MS
+    assert ejections_ms == sorted(ejections_ms)
+    endpoint.record_outcome(driver.now, Outcome.OK, 100.0, 100.0, 5000.0)
+    assert endpoint.ejected_until == 0.0
+    endpoint.record_outcome(driver.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
+    driver.give(EndpointsListed((replace(endpoint.endpoint, started_at=driver.now),), is_complete=True))
+    assert endpoint.ejected_until == 0.0
+    assert endpoint.latency_ms == driver.limiter.estimates.latency_ms
+
+
+def test_retry_after_a_failed_connect_needs_no_retry_budget() -> None:
+    # No endpoint was reached, so the retry can't prolong an overload.
+    driver = Driver(replace(SETTINGS, max_attempts=4), count=3)
+    driver.limiter.retries.budget.retries = 0.0
+    driver.ask(plan_index=1)
+    driver.end(driver.sends()[0], Outcome.CONNECT_FAILED)
+    assert len(driver.sends()) == 2
+    driver.end(driver.sends()[1], Outcome.TIMEOUT)
+    assert len(driver.sends()) == 2
+
+
+def test_fault_memory_is_short_if_answers_are_frequent() -> None:
+    # Guards small fleets against the long memory that only little traffic per endpoint needs.
     assert outlier_detection.fault_memory_ms(10.0, 12) == outlier_detection.FAULT_MEMORY_MS
     assert outlier_detection.fault_memory_ms(90.0, 60) > 2 * outlier_detection.FAULT_MEMORY_MS
 
 
-def test_a_new_connection_costs_what_the_settings_say_and_nothing_where_they_say_nothing() -> None:
-    # Guards both ways: a server whose free connection was used up, closed or has rested too long is not taken
-    # for one that has another, and a fleet without a price chooses as before.
-    server = next(iter(Driver(count=1).limiter.selector.endpoints.values()))
-
-    def look(at: float, opening: float = 100.0) -> float:
-        return server.perceived_latency_ms(at, 100.0, 5000.0, "", 1000.0, opening)
-
-    server.latency_ms = 100.0
-    assert look(0.0) == 200.0
-    assert look(0.0, opening=0.0) == 100.0
-    for outcome, kept in ((Outcome.OK, True), (Outcome.RESET, False), (Outcome.TIMEOUT, False)):
-        server.reset(100.0)
-        server.record_outcome(10.0, outcome, 100.0, 100.0, 5000.0)
-        assert (look(20.0) == look(20.0, opening=0.0)) is kept
-    server.reset(100.0)
-    server.record_outcome(10.0, Outcome.REJECTED, 100.0, 100.0, 5000.0)
-    assert look(1009.0) == look(1009.0, opening=0.0)
-    assert look(1011.0) > look(1011.0, opening=0.0)
-    server.record_send(20.0, 1000.0)
-    assert server.idle_connections == 0
-    assert look(21.0) > look(21.0, opening=0.0)
-
-
-@pytest.mark.parametrize("price", [0.0, 0.08])
-def test_hundreds_of_limiters_do_not_open_a_connection_to_every_server_each(price: float) -> None:
-    # Seen with 214 limiters before 112 backends: a new connection for every second try, 60 open at a limiter,
-    # 0.046 of the worth.
-    count, settings = 60, replace(SETTINGS, limiter_count=40, handshake_cost=price, idle_timeout_ms=30_000.0)
-    opened = tries = 0
+def test_new_connection_adds_the_configured_handshake_cost() -> None:
+    # Guards both cases: an endpoint whose idle connection is in use, closed or expired must not be treated
+    # like one with an idle connection, and without a configured cost the choice must not change.
+    endpoint = next(iter(Driver(count=1).limiter.selector.endpoints.values()))
+
+    def perceived_ms(at: float, handshake_ms: float = 100.0) -> float:
+        return endpoint.perceived_latency_ms(at, 100.0, 5000.0, "", 1000.0, handshake_ms)
+
+    endpoint.latency_ms = 100.0
+    assert perceived_ms(0.0) == 200.0
+    assert perceived_ms(0.0, handshake_ms=0.0) == 100.0
+    for outcome, is_reusable in ((Outcome.OK, True), (Outcome.RESET, False), (Outcome.TIMEOUT, False)):
+        endpoint.reset(100.0)
+        endpoint.record_outcome(10.0, outcome, 100.0, 100.0, 5000.0)
+        assert (perceived_ms(20.0) == perceived_ms(20.0, handshake_ms=0.0)) is is_reusable
+    endpoint.reset(100.0)
+    endpoint.record_outcome(10.0, Outcome.REJECTED, 100.0, 100.0, 5000.0)
+    assert perceived_ms(1009.0) == perceived_ms(1009.0, handshake_ms=0.0)
+    assert perceived_ms(1011.0) > perceived_ms(1011.0, handshake_ms=0.0)
+    endpoint.record_send(20.0, 1000.0)
+    assert endpoint.idle_connections == 0
+    assert perceived_ms(21.0) > perceived_ms(21.0, handshake_ms=0.0)
+
+
+@pytest.mark.parametrize("handshake_cost", [0.0, 0.08])
+def test_limiters_of_a_large_fleet_reuse_connections_to_few_endpoints(handshake_cost: float) -> None:
+    # Guards against handshakes for most attempts: with 214 limiters and 112 backends, every second attempt
+    # needed a new connection and a limiter had 60 open ones, which cost 0.046 of the value earned.
+    count, settings = (
+        60,
+        replace(SETTINGS, limiter_count=40, handshake_cost=handshake_cost, idle_timeout_ms=30_000.0),
+    )
+    opened = attempts = 0
     load: Counter[str] = Counter()
     for index in range(40):
-        d, free = Driver(replace(settings, limiter_index=index), count=count, seed=index), Counter[str]()
+        driver, idle = Driver(replace(settings, limiter_index=index), count=count, seed=index), Counter[str]()
         for _ in range(100):
-            d.ask(plan_index=1)
-            server = d.sends()[-1].endpoint
-            opened, tries = opened + (not free[server]), tries + 1
-            free[server], load[server] = 1, load[server] + 1
-            d.wait(100.0)
-            d.end(d.sends()[-1])
-    assert opened / tries < (0.2 if price else 0.35), opened / tries
+            driver.ask(plan_index=1)
+            endpoint = driver.sends()[-1].endpoint
+            opened, attempts = opened + (not idle[endpoint]), attempts + 1
+            idle[endpoint], load[endpoint] = 1, load[endpoint] + 1
+            driver.wait(100.0)
+            driver.end(driver.sends()[-1])
+    assert opened / attempts < (0.2 if handshake_cost else 0.35), opened / attempts
     assert len(load) == count
-    assert max(load.values()) < 5 * tries / count
+    assert max(load.values()) < 5 * attempts / count
--- a/tests/test_tries.py
+++ b/tests/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Keyed requests whose repeats only a zone drops: homes, and what limiters tell each other of them."""
+"""Idempotency keys whose duplicates only one zone drops: preferred groups, and records shared by limiters."""
 
 from __future__ import annotations
 
@@ -21,68 +21,68 @@
 
 
 @given(st.text(min_size=1), st.sets(st.integers(0, 9), min_size=1), st.integers(0, 9))
-def test_a_group_that_goes_moves_its_own_keys_alone(key: str, groups: set[int], gone: int) -> None:
-    before, after = preferred_groups(key, groups), preferred_groups(key, groups - {gone})
+def test_removed_group_moves_only_its_own_keys(key: str, groups: set[int], removed: int) -> None:
+    before, after = preferred_groups(key, groups), preferred_groups(key, groups - {removed})
     assert set(before) == groups
     assert len(before) == len(groups)
-    assert after == [one for one in before if one != gone]
+    assert after == [group for group in before if group != removed]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_key_that_comes_again_through_another_limiter_goes_home(seed: int) -> None:
-    # Guards the rule on repeats: without homes 0.6% of 10,000 ran in two zones.
-    with_homes = Run(replace(SMALL, seed=seed, linked=False)).play()
-    without = Run(replace(SMALL, seed=seed, linked=False, keys=False)).play()
-    assert with_homes["twice"] == 0 < without["twice"]
-    assert with_homes["served"] == SMALL.requests == without["served"]
+def test_retry_through_another_limiter_goes_to_the_preferred_group_of_its_key(seed: int) -> None:
+    # Guards against executions in two zones: without preferred groups, 0.6% of 10,000 requests ran in two.
+    with_groups = Run(replace(SMALL, seed=seed, linked=False)).play()
+    without_groups = Run(replace(SMALL, seed=seed, linked=False, keys=False)).play()
+    assert with_groups["twice"] == 0 < without_groups["twice"]
+    assert with_groups["served"] == SMALL.requests == without_groups["served"]
 
 
-def test_where_the_lists_change_links_tell_where_it_may_have_run() -> None:
-    late = replace(SMALL, requests=4000, lost_zones=True, back_ms=(900.0, 1500.0))
-    on = [Run(replace(late, seed=seed)).play() for seed in (1, 2)]
-    off = [Run(replace(late, seed=seed, linked=False)).play() for seed in (1, 2)]
-    assert sum(run["twice"] for run in on) == 0 < sum(run["twice"] for run in off)
-    assert all(run["served"] + run.get("failed", 0) == late.requests for run in on)
+def test_peer_records_prevent_duplicates_while_endpoint_lists_change() -> None:
+    lost_zones = replace(SMALL, requests=4000, lost_zones=True, back_ms=(900.0, 1500.0))
+    linked = [Run(replace(lost_zones, seed=seed)).play() for seed in (1, 2)]
+    unlinked = [Run(replace(lost_zones, seed=seed, linked=False)).play() for seed in (1, 2)]
+    assert sum(run["twice"] for run in linked) == 0 < sum(run["twice"] for run in unlinked)
+    assert all(run["served"] + run.get("failed", 0) == lost_zones.requests for run in linked)
 
 
-def tell(run: Run, door: int, key: str, **fields: Any) -> Any:
-    """Ask for one request at a limiter; its client."""
-    found: Any = run.limiters[door]
-    answers: list[str] = []
+def submit(run: Run, limiter_index: int, key: str, **fields: Any) -> Any:
+    """Submit a request to a limiter; return the list that receives its verdict."""
+    limiter: Any = run.limiters[limiter_index]
+    verdicts: list[str] = []
 
     class Caller:
         def on_answer(self, request: Any, verdict: Any, value: Any, retry_after_ms: float) -> None:
-            answers.append(verdict.value)
+            verdicts.append(verdict.value)
 
     incoming = IncomingRequest(
         tenant="c", plan_index=0, class_index=0, expires_in_ms=900.0, units=1.0, sharing_limiters=8,
         idempotency_key=key, **fields,
     )  # fmt: skip
-    found.timed(found.core.submit, Caller(), (None, 50.0, key), incoming)
-    return answers
+    limiter.timed(limiter.core.submit, Caller(), (None, 50.0, key), incoming)
+    return verdicts
 
 
-def test_a_key_whose_zone_is_gone_fails_and_is_not_sent_elsewhere() -> None:
+def test_retry_fails_if_the_zone_that_may_have_executed_it_is_gone() -> None:
     run = Run(Case(requests=0))
     run.run(BEGIN_MS)
-    tell(run, 1, "k1")
-    run.run(run.now + 20.0)  # it runs; its limiter dies, and the zone is lost
+    submit(run, 1, "k1")
+    run.run(run.now + 20.0)  # the request executes; then its limiter is killed, and its zone is removed
     (zone,) = run.ran["k1"]
     run.kill(1, 1e9)
     run.run(run.now + 600.0)
     for limiter in run.limiters:
         run.tell(limiter, zone, EndpointState.REMOVED)
-    answers = tell(run, 4, "k1")
+    retry = submit(run, 4, "k1")
     run.run(run.now + 1500.0)
-    assert answers == ["failed"]
+    assert retry == ["failed"]
     assert run.ran["k1"] == {zone}
-    again = tell(run, 4, "k2")  # another key goes where there are servers
+    other_key = submit(run, 4, "k2")  # goes to a remaining zone
     run.run(run.now + 1500.0)
-    assert again == ["served"]
+    assert other_key == ["served"]
 
 
-class WrittenLog:
-    """What `IdempotencyRecords` writes, and a core that has nothing."""
+class RecordLog:
+    """An `IdempotencyRecords` on an empty core, and the entries that it has written."""
 
     def __init__(self) -> None:
         self.written: dict[str, Any] = {}
@@ -96,7 +96,7 @@
             del self.written[key]
 
 
-INCARNATION, FORGER = Incarnation("n1", 1, 7), Incarnation("n2", 1, 9)
+INCARNATION, OTHER_INCARNATION = Incarnation("n1", 1, 7), Incarnation("n2", 1, 9)
 
 
 @pytest.mark.parametrize(
@@ -108,43 +108,43 @@
         [0.5, 0, START_MS, START_MS + 9],
     ],
 )  # fmt: skip
-def test_a_malformed_entry_is_ignored(value: Any) -> None:
-    log = WrittenLog()
+def test_malformed_entry_is_ignored(value: Any) -> None:
+    log = RecordLog()
     log.records.on_entry(INCARNATION, "c k", value)
     assert log.records.ran("c", "k") is None
 
 
-def test_of_two_entries_the_older_stands_and_it_ends_with_its_window() -> None:
-    log = WrittenLog()
+def test_older_of_two_entries_is_valid_until_its_window_ends() -> None:
+    log = RecordLog()
     log.records.on_entry(INCARNATION, "c k", [2, 0, START_MS - 100, START_MS + 3900])
-    log.records.on_entry(FORGER, "c k", [1, 0, START_MS - 50, START_MS + 3950])
-    log.records.on_entry(FORGER, "c k", None)
-    found = log.records.ran("c", "k")
-    assert found is not None
-    assert (found[0].zone, found[1]) == (2, START_MS - 100)
+    log.records.on_entry(OTHER_INCARNATION, "c k", [1, 0, START_MS - 50, START_MS + 3950])
+    log.records.on_entry(OTHER_INCARNATION, "c k", None)
+    execution = log.records.ran("c", "k")
+    assert execution is not None
+    assert (execution[0].zone, execution[1]) == (2, START_MS - 100)
     log.now += 4000.0
     assert log.records.ran("c", "k") is None
     log.records.tick(log.now)
     assert not log.records.peer_attempts
 
 
-def test_own_keys_and_those_of_peers_are_bounded() -> None:
-    log = WrittenLog()
+def test_numbers_of_own_keys_and_peer_keys_are_bounded() -> None:
+    log = RecordLog()
     attempts: dict[Any, Any] = {}
-    server = type("S", (), {"endpoint": Endpoint("s", EndpointState.SERVING, zone=1)})()
-    attempts[1, 0] = type("A", (), {"endpoint": server})()
-    limiter: Any = type("G", (), {"attempts": attempts})()
+    endpoint = type("TrackedEndpoint", (), {"endpoint": Endpoint("s", EndpointState.SERVING, zone=1)})()
+    attempts[1, 0] = type("Attempt", (), {"endpoint": endpoint})()
+    limiter: Any = type("Limiter", (), {"attempts": attempts})()
     log.records.core.limiter = limiter
-    customer = type("C", (), {"name": "c"})()
+    tenant = type("Tenant", (), {"name": "c"})()
     for number in range(MAX_OWN_KEYS + 100):
-        told: Any = {
+        fields: Any = {
             "request_class": CLASS,
             "idempotency_key": str(number),
-            "tenant": customer,
+            "tenant": tenant,
             "request_id": 1,
             "attempts_sent": 1,
         }
-        request: Any = type("R", (), told)()
+        request: Any = type("Request", (), fields)()
         log.records.sends(request)
     assert len(log.records.own_ends_at) == len(log.written) == MAX_OWN_KEYS
     assert "k:c 0" not in log.written
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""The queue of a customer: who goes first, who is given up, when the counter is asked again."""
+"""The queue of a tenant: sending order, rejections, and when the counter is called again."""
 
 from __future__ import annotations
 
@@ -11,125 +11,139 @@
 from scalelb.policy.events import CounterReplied, Outcome
 from scalelb.policy.settings import Plan
 
-DEAR = replace(SAFE, priority_weight=6.0)
-CAPPED = Plan(rate_per_s=100.0, burst=400.0, max_concurrent_attempts=2)
+HIGH_PRIORITY = replace(SAFE, priority_weight=6.0)
+CONCURRENCY_LIMITED = Plan(rate_per_s=100.0, burst=400.0, max_concurrent_attempts=2)
 
 
-def refused(d: Driver) -> list[int]:
-    return [a.request_id for a in of(RejectRequest, d.did)]
+def rejected_ids(driver: Driver) -> list[int]:
+    return [a.request_id for a in of(RejectRequest, driver.did)]
 
 
-def test_the_dearer_class_goes_first() -> None:
-    # Seen on fleet days: record-answer was served to 60% and fetch-cards, a third of its worth, to 95%.
-    d = Driver(
+def test_class_of_higher_priority_weight_is_sent_first() -> None:
+    # Guards against serving a class of lower priority first: in load tests, 60% of the record-answer requests
+    # were served, but 95% of fetch-cards, which have a third of their priority weight.
+    driver = Driver(
         replace(
             SETTINGS,
-            request_classes=(SAFE, DEAR),
+            request_classes=(SAFE, HIGH_PRIORITY),
             has_counter=False,
             plans=(replace(METERED, rate_per_s=8.0),),
         )
     )
-    asked = [d.ask(class_index=n % 2) for n in range(10)]
-    before = {a.request_id for a in d.sends()}
-    d.wait(900.0)
-    later = [a.request_id for a in d.sends() if a.request_id not in before]
-    dear = [r for r in later if (r - asked[0]) % 2]
-    assert dear
-    assert later[: len(dear)] == dear
-
-
-def test_a_queue_behind_an_empty_store_asks_the_counter_again() -> None:
-    # Seen on a fleet day: the store was full again, and for four seconds nobody asked.
-    d = Driver()
-    d.ask()
-    d.give(CounterReplied(d.calls()[-1].counter_key, Outcome.OK, 500.0, 2.0))  # others used it up
+    request_ids = [driver.ask(class_index=n % 2) for n in range(10)]
+    sent_at_once = {a.request_id for a in driver.sends()}
+    driver.wait(900.0)
+    sent_later = [a.request_id for a in driver.sends() if a.request_id not in sent_at_once]
+    high_priority = [r for r in sent_later if (r - request_ids[0]) % 2]
+    assert high_priority
+    assert sent_later[: len(high_priority)] == high_priority
+
+
+def test_queue_behind_an_empty_bucket_calls_the_counter_again() -> None:
+    # Guards against a queue that does not notice a refill: in a load test the bucket was full again, but the
+    # limiter did not call the counter for four seconds.
+    driver = Driver()
+    driver.ask()
+    # Other limiters have used the bucket up.
+    driver.give(CounterReplied(driver.calls()[-1].counter_key, Outcome.OK, 500.0, 2.0))
     for _ in range(4):
-        d.ask(units=3.0)
-    calls, ada = len(d.calls()), d.limiter.tenants.tenants["ada"]
-    assert ada.queue.requests
-    if ada.bucket.has_call_in_flight:
-        d.give(CounterReplied(d.calls()[-1].counter_key, Outcome.OK, 502.0, 2.0))
-    ada.bucket.counter_balance, ada.bucket.counter_balance_at = 4.0, d.now  # it has filled since
-    d.wait(300.0)
-    assert len(d.calls()) > calls
-
-
-def test_what_can_not_go_in_time_is_refused_at_once() -> None:
-    # Seen on a fleet day: requests behind a cap on attempts waited 1.6 s for their refusal.
-    d = Driver(replace(SETTINGS, plans=(CAPPED,)))
-    d.limiter.estimates.latency_ms = 300.0
-    asked = [d.ask() for _ in range(12)]
-    assert len(d.sends()) == 1  # this door's half of the two
-    assert 0 < len(refused(d)) < 11
-    assert set(refused(d)) == set(asked[-len(refused(d)) :])
-
-
-@pytest.mark.parametrize("most", [0.0, 200.0, 1000.0])
-def test_a_refusal_says_when_to_come_back(most: float) -> None:
-    # The module used to refuse without a word, and clients came back by their own clocks.
-    d = Driver(replace(SETTINGS, has_counter=False, sends_retry_after=most > 0, max_retry_after_ms=most))
+        driver.ask(units=3.0)
+    calls, tenant = len(driver.calls()), driver.limiter.tenants.tenants["ada"]
+    assert tenant.queue.requests
+    if tenant.bucket.has_call_in_flight:
+        driver.give(CounterReplied(driver.calls()[-1].counter_key, Outcome.OK, 502.0, 2.0))
+    tenant.bucket.counter_balance, tenant.bucket.counter_balance_at = 4.0, driver.now  # refilled since
+    driver.wait(300.0)
+    assert len(driver.calls()) > calls
+
+
+def test_request_that_can_not_be_sent_in_time_is_rejected_at_once() -> None:
+    # Guards against useless waits: in a load test, requests behind a concurrency limit were rejected only
+    # after 1.6 s.
+    driver = Driver(replace(SETTINGS, plans=(CONCURRENCY_LIMITED,)))
+    driver.limiter.estimates.latency_ms = 300.0
+    request_ids = [driver.ask() for _ in range(12)]
+    assert len(driver.sends()) == 1  # this limiter's half of the two attempts
+    assert 0 < len(rejected_ids(driver)) < 11
+    assert set(rejected_ids(driver)) == set(request_ids[-len(rejected_ids(driver)) :])
+
+
+@pytest.mark.parametrize("max_retry_after_ms", [0.0, 200.0, 1000.0])
+def test_rejection_has_a_retry_after_delay_if_enabled(max_retry_after_ms: float) -> None:
+    # Guards against rejections without `Retry-After`, after which clients retry by their own timers.
+    driver = Driver(
+        replace(
+            SETTINGS,
+            has_counter=False,
+            sends_retry_after=max_retry_after_ms > 0,
+            max_retry_after_ms=max_retry_after_ms,
+        )
+    )
     for _ in range(40):
-        d.ask(units=3.0)
-    advice = [a.retry_after_ms for a in of(RejectRequest, d.did)]
-    assert advice
-    assert all(0 < a <= most for a in advice) or most == 0.0
-    assert most or not any(advice)
-
-
-def test_a_silence_of_the_counter_is_not_charged_twice() -> None:
-    # Seen on a fleet day: for ten seconds after the counter's return half of the tries were refused with half
-    # of their quota unused, as all that was credited blind was taken from a store capped at its room.
-    d = Driver()
+        driver.ask(units=3.0)
+    delays_ms = [a.retry_after_ms for a in of(RejectRequest, driver.did)]
+    assert delays_ms
+    assert all(0 < a <= max_retry_after_ms for a in delays_ms) or max_retry_after_ms == 0.0
+    assert max_retry_after_ms or not any(delays_ms)
+
+
+def test_units_credited_during_a_counter_outage_are_not_charged_twice() -> None:
+    # Guards against rejections after an outage of the counter: for ten seconds after its return, half of the
+    # attempts were rejected although half of their quota was unused, as all units that were credited during
+    # the outage were taken from a bucket that is capped at its capacity.
+    driver = Driver()
     counts: dict[int, float] = {}
     answered: set[int] = set()
 
-    def phase(ms: float, silent: bool) -> float:
-        """The part that is sent on of what six customers ask, each a quarter of a request a 250 ms."""
-        asked, before = 0, len(d.sends())
-        for _ in range(int(ms / 250)):
+    def sent_ratio(duration_ms: float, has_outage: bool) -> float:
+        """Return the ratio of requests sent, while six tenants send one request of 1 unit per 250 ms each."""
+        requests, sends_before = 0, len(driver.sends())
+        for _ in range(int(duration_ms / 250)):
             for name in ("ada", "bob", "cat", "dan", "eve", "fay"):
-                d.ask(name, units=1.0)
-                asked += 1
+                driver.ask(name, units=1.0)
+                requests += 1
             for _ in range(10):
-                d.wait(25.0)
-                for place, one in enumerate(d.calls()):
-                    if place not in answered and one.counter_key in d.limiter.leases.calls:
-                        answered.add(place)
-                        counts[one.counter_key] = counts.get(one.counter_key, 0.0) + one.amount * (not silent)
-                        outcome = Outcome.TIMEOUT if silent else Outcome.OK
-                        d.give(CounterReplied(one.counter_key, outcome, counts[one.counter_key], 2.0))
-            for send in [s for s in d.sends() if s.request_id in d.limiter.requests]:
-                d.end(send, true_units=1.0)
-        return (len(d.sends()) - before) / asked
-
-    assert phase(5000.0, silent=False) == 1.0
-    assert 0.3 < phase(12_000.0, silent=True) < 0.8
-    counts.clear()  # it comes back empty
-    phase(500.0, silent=False)
-    assert phase(3000.0, silent=False) > 0.9
+                driver.wait(25.0)
+                for index, call in enumerate(driver.calls()):
+                    if index not in answered and call.counter_key in driver.limiter.leases.calls:
+                        answered.add(index)
+                        counts[call.counter_key] = counts.get(call.counter_key, 0.0) + call.amount * (
+                            not has_outage
+                        )
+                        outcome = Outcome.TIMEOUT if has_outage else Outcome.OK
+                        driver.give(CounterReplied(call.counter_key, outcome, counts[call.counter_key], 2.0))
+            for send in [s for s in driver.sends() if s.request_id in driver.limiter.requests]:
+                driver.end(send, true_units=1.0)
+        return (len(driver.sends()) - sends_before) / requests
+
+    assert sent_ratio(5000.0, has_outage=False) == 1.0
+    assert 0.3 < sent_ratio(12_000.0, has_outage=True) < 0.8
+    counts.clear()  # the counter restarts empty
+    sent_ratio(500.0, has_outage=False)
+    assert sent_ratio(3000.0, has_outage=False) > 0.9
 
 
 @pytest.mark.parametrize("sharing_limiters", [2, 4, 8])
-def test_while_the_counter_is_unavailable_only_what_the_share_covers_in_time_is_queued(
+def test_while_the_counter_is_unavailable_only_requests_covered_in_time_are_queued(
     sharing_limiters: int,
 ) -> None:
-    # Guards clients against a wait that ends in a refusal which could have come at once.
-    d = Driver(replace(SETTINGS, plans=(replace(METERED, rate_per_s=4.0, burst=8.0),)))
+    # Guards against queueing requests that are rejected after the wait and could be rejected at once.
+    driver = Driver(replace(SETTINGS, plans=(replace(METERED, rate_per_s=4.0, burst=8.0),)))
 
-    def wait_without_counter(ms: float) -> None:
-        before = len(d.calls())
-        d.wait(ms)
-        for call in d.calls()[before:]:
-            d.give(CounterReplied(call.counter_key, Outcome.CONNECT_FAILED, 0.0, 2.0))
+    def wait_without_counter(duration_ms: float) -> None:
+        calls_before = len(driver.calls())
+        driver.wait(duration_ms)
+        for call in driver.calls()[calls_before:]:
+            driver.give(CounterReplied(call.counter_key, Outcome.CONNECT_FAILED, 0.0, 2.0))
 
-    d.ask(sharing_limiters=sharing_limiters)
+    driver.ask(sharing_limiters=sharing_limiters)
     for _ in range(60):
         wait_without_counter(50.0)
-    for send in d.sends():
-        d.end(send)
-    assert not d.limiter.leases.is_counter_available()
-    asked = {d.ask(sharing_limiters=sharing_limiters) for _ in range(8)}
-    at_once = {a.request_id for a in d.refused()}
+    for send in driver.sends():
+        driver.end(send)
+    assert not driver.limiter.leases.is_counter_available()
+    request_ids = {driver.ask(sharing_limiters=sharing_limiters) for _ in range(8)}
+    rejected_at_once = {a.request_id for a in driver.refused()}
     for _ in range(40):
         wait_without_counter(50.0)
-    assert set(refused(d)) & asked == at_once
+    assert set(rejected_ids(driver)) & request_ids == rejected_at_once
