--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -9,7 +9,7 @@
 
 import pytest
 from driver import SETTINGS, Driver
-from scenario import Stage
+from scenario import Harness
 from standin import KINDS, PLANS, SITE, Backside
 from test_core import RecordingClient, submit
 from test_middleware import HEADERS
@@ -38,16 +38,16 @@
         backend send {SERVED}
         backend2 send {SERVED}
         wait 3000
-        backend silent
-        backend2 silent
+        backend expect-nothing
+        backend2 expect-nothing
         """,
 }
 
 
-def queue_third_request(harness: Stage, wait: int = 7000) -> None:
-    harness.play("client1 send {call(1)}\nbackend expect 0000000000000001")
-    harness.play("client2 send {call(2)}\nbackend2 expect 0000000000000002")
-    harness.play(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 silent")
+def queue_third_request(harness: Harness, wait: int = 7000) -> None:
+    harness.run("client1 send {call(1)}\nbackend expect 0000000000000001")
+    harness.run("client2 send {call(2)}\nbackend2 expect 0000000000000002")
+    harness.run(f"client3 send {{call(3, wait={wait})}}\nwait 20\nclient3 expect-nothing")
     adapter = harness.loop.core.queue_adapter
     assert adapter is not None
     assert list(adapter.queue.queued.by_id) == [3]
@@ -55,9 +55,9 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS.values(), ids=SCENARIOS.keys())
 def test_queued_request_is_forwarded_at_most_once(scenario: str) -> None:
-    harness = Stage(fairness=TWO_IN_FLIGHT, has_counter=False)
+    harness = Harness(fairness=TWO_IN_FLIGHT, has_counter=False)
     queue_third_request(harness)
-    harness.play(scenario)
+    harness.run(scenario)
     adapter = harness.loop.core.queue_adapter
     assert adapter is not None
     assert not adapter.queue.queued.by_id
@@ -65,32 +65,32 @@
 
 
 def test_overdue_request_is_rejected_and_never_sent() -> None:
-    harness = Stage(fairness=TWO_IN_FLIGHT, has_counter=False)
+    harness = Harness(fairness=TWO_IN_FLIGHT, has_counter=False)
     queue_third_request(harness, wait=400)
-    harness.play("wait 300\nclient3 expect -BUSY\nbackend send {SERVED}\nwait 20\nbackend silent")
+    harness.run("wait 300\nclient3 expect -BUSY\nbackend send {SERVED}\nwait 20\nbackend expect-nothing")
 
 
 def test_queued_requests_are_finished_after_sigterm() -> None:
-    harness = Stage(fairness=TWO_IN_FLIGHT, has_counter=False)
+    harness = Harness(fairness=TWO_IN_FLIGHT, has_counter=False)
     queue_third_request(harness)
     harness.program.stop()
     harness.wait(750)
-    harness.play("backend send {SERVED}\nwait 20\nbackend expect 0000000000000003\nbackend send {SERVED}")
-    harness.play("client3 expect $2\\nok\\n\nbackend2 send {SERVED}")
+    harness.run("backend send {SERVED}\nwait 20\nbackend expect 0000000000000003\nbackend send {SERVED}")
+    harness.run("client3 expect $2\\nok\\n\nbackend2 send {SERVED}")
     for number in (1, 2, 3):
-        harness.play(f"client{number} close")
+        harness.run(f"client{number} close")
     harness.wait(100)
     assert harness.net.stopped
 
 
 def test_sighup_does_not_affect_queued_requests() -> None:
-    harness = Stage(fairness=TWO_IN_FLIGHT, has_counter=False)
+    harness = Harness(fairness=TWO_IN_FLIGHT, has_counter=False)
     queue_third_request(harness)
     harness.reload(director="127.0.0.1:7001", fairness=AdmissionQueueSettings(max_queued=1))
     assert [entry["at_next_start"] for entry in harness.logged if entry["event"] == "reloaded"] == [
         ["SCALELB_FAIRNESS"]
     ]
-    harness.play(SCENARIOS["queued request is sent when there is capacity"])
+    harness.run(SCENARIOS["queued request is sent when there is capacity"])
 
 
 def test_each_request_is_answered_once_when_the_queue_is_full() -> None:
@@ -257,8 +257,8 @@
     for number in range(3 * VISITED_TENANTS):
         driver.ask(f"c{number}", units=0.5, sharing_limiters=1)
     visited: list[int] = []
-    keep_house = driver.limiter._keep_house
-    driver.limiter._keep_house = lambda now: (  # type: ignore
+    keep_house = driver.limiter._housekeep
+    driver.limiter._housekeep = lambda now: (  # type: ignore
         keep_house(now),
         visited.append(len(driver.limiter.housekeeper.unvisited)),  # type: ignore
     )[0]
--- a/tests/test_contained_faults.py
+++ b/tests/test_contained_faults.py
@@ -9,7 +9,7 @@
 
 import pytest
 from driver import SETTINGS, Driver, of
-from scenario import Stage
+from scenario import Harness
 from standin import PLAN, SITE, Backside
 from test_core import RecordingClient, submit
 
@@ -102,8 +102,8 @@
         name: [submit(harness, tenant=name, units=2.0)[0] for _ in range(2)] for name in ("a", "odd", "z")
     }
     harness.run()
-    broken = raising_if(limiter._look_at, lambda tenant, now: tenant.name == "odd")
-    monkeypatch.setattr(limiter, "_look_at", broken)
+    broken = raising_if(limiter._process_tenant, lambda tenant, now: tenant.name == "odd")
+    monkeypatch.setattr(limiter, "_process_tenant", broken)
     harness.run(1500.0)
     for name in ("a", "z"):
         assert [verdicts(client) for client in clients[name]] == [[Verdict.SERVED]] * 2
@@ -258,18 +258,18 @@
 
 def test_periodic_sweep_of_the_program_continues_after_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     # The next sweep was scheduled at the end of the current one: after a fault no idle session was closed.
-    harness = Stage()
-    harness.play("client send {call(1)}\n backend send {SERVED}\n client expect ok")
+    harness = Harness()
+    harness.run("client send {call(1)}\n backend send {SERVED}\n client expect ok")
     with monkeypatch.context() as broken:
         broken.setattr(harness.loop, "sweep", lambda: 1 / 0)
         with pytest.raises(ZeroDivisionError):
             harness.wait(300)
     harness.wait(3000)
-    harness.play("client closed")
+    harness.run("client closed")
 
 
 def test_periodic_log_line_is_written_again_after_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    harness = Stage()
+    harness = Harness()
     with monkeypatch.context() as broken:
         broken.setattr(harness.loop.pool, "fetching", lambda: 1 / 0)
         with pytest.raises(ZeroDivisionError):
@@ -283,15 +283,15 @@
     monkeypatch: pytest.MonkeyPatch, is_stopping: bool
 ) -> None:
     # During shutdown one such session kept all others open, and the process running until it was killed.
-    harness = Stage()
+    harness = Harness()
     for name in ("client", "client2"):
-        harness.play(f"{name} send *1\\n$4\\nPING\\n\n {name} expect +PONG")
+        harness.run(f"{name} send *1\\n$4\\nPING\\n\n {name} expect +PONG")
     faulty = harness.wire("client").protocol
     for method_name in ("overdue", "part"):
         monkeypatch.setattr(faulty, method_name, lambda *_: 1 / 0)
     if is_stopping:
         harness.program.stop()
     harness.wait(3000)
-    harness.play("client closed\n client2 closed")
+    harness.run("client closed\n client2 closed")
     assert [line["event"] for line in harness.logged].count("fault") == 1
     assert harness.net.stopped is is_stopping
