--- a/scalelb/consensus/__init__.py
+++ b/scalelb/consensus/__init__.py
@@ -1,10 +1,11 @@
-"""Single-decree consensus on the policy: one value for each version, and leases to decide by it.  No I/O:
-clocks, stores and messages are passed in.
+"""Single-decree consensus on the policy: one value for each version, and leases to decide requests by it.
 
-`acceptor` keeps what was promised and accepted, and grants leases; `proposer` brings one change about;
-`learner` is a limiter that may decide by a version only while it holds leases for it. The keys on the wire
-and in the store are known to `wire`, `messages` and `replies` alone. `docs/policy-changes.md` has the
-invariant and its reasons.
+The package does no I/O: clocks, stores and messages are passed in.
+
+`acceptor` stores promises and accepted values and grants leases. `proposer` carries one change through.
+`learner` is a limiter that may decide requests by a version only while it holds leases for it. Only `wire`,
+`messages` and `replies` contain the keys used on the wire and in the store. `docs/policy-changes.md`
+describes the invariant and its reasons.
 """
 
 from scalelb.consensus.acceptor import Acceptor, StateStore
--- a/scalelb/consensus/acceptor.py
+++ b/scalelb/consensus/acceptor.py
@@ -1,18 +1,19 @@
-"""An acceptor: what it has promised and accepted for the next version, which version it knows to be decided,
-and the leases that it has granted.
-
-There is one decree for each version (Lamport, 1998; of a single register as in CASPaxos, Rystsov, 2018), of
-which only the newest decided one and the one after it are kept. The acceptor saves its state before it
-replies.
-
-Leases are the other half (Gray and Cheriton, 1989). An acceptor grants them for one version at a time, the
-newest that it knows to be decided, and goes on to the next only once all leases for older ones have expired
-or were returned. It saves the number of that version and forgets the leases in a crash, by rule: a new
-incarnation waits for as long as any lease can be out before it goes on to a later version.
-
-An acceptor whose store is gone does not vote: whoever answers for it may have promised what it can't know. It
-asks the others, and once `reports_needed` of them have reported their states, so that each past quorum has a
-member among them, it holds no less than it may have promised; it then waits as after a crash.
+"""An acceptor, which votes on the next version and grants leases for the newest decided one.
+
+There is one decree for each version (Lamport, 1998; for a single register as in CASPaxos, Rystsov, 2018).
+Only the newest decided version and the promise and accepted value for the version after it are stored. The
+acceptor saves its state before it replies.
+
+Leases (Gray and Cheriton, 1989) ensure that no limiter still uses an older version when the next one comes
+into use. An acceptor grants leases for one version at a time, the newest that it knows to be decided. It
+starts to grant leases for the next version only when all leases for older versions have expired or were
+returned. It saves the number of the version, but not the leases: after a crash, a new incarnation waits until
+every lease that may have been granted has expired before it grants leases for a later version.
+
+An acceptor whose store was lost does not vote, because it may have made promises that it no longer knows. It
+asks the other acceptors for their states. When `reports_needed` of them have replied, each past quorum has a
+member among them, so the acceptor can restore a state that covers all its promises. It then waits as after a
+crash.
 """
 
 from __future__ import annotations
@@ -44,42 +45,45 @@
 )
 from scalelb.consensus.wire import Kind, MalformedMessageError, WireMessage, kind_of
 
-MAX_LEASES = 512  # out at once; bounds the memory
-RETURNED_AT = float("-inf")  # when a returned lease expired: always in the past
+MAX_LEASES = 512  # held at the same time; bounds the memory
+RETURNED_LEASE_EXPIRES_AT = float("-inf")  # always in the past
 
 
 class StateStore(Protocol):
-    """Keeps an acceptor's state across crashes."""
+    """Stores an acceptor's state so that it survives a crash."""
 
     def load(self) -> dict[str, Any] | None:
-        """The state that was saved last; None where there is none."""
+        """Returns the state that was saved last, or None if there is none."""
 
     def save(self, state: dict[str, Any]) -> None:
-        """Save the state, whole or not at all; returns once it is on the disk."""
+        """Saves the state atomically and returns once it is on disk."""
 
 
 @dataclass(slots=True)
 class GrantedLease:
-    """A lease that is out."""
+    """A lease that was granted to a learner."""
 
     expires_at: float
-    request_number: int  # the holder's request that it answered
+    request_number: int  # the number of the holder's request
     version: int
 
 
 @dataclass
 class Acceptor:
-    """One incarnation of one acceptor.  Times are ms of its own monotonic clock."""
+    """One incarnation of one acceptor.
+
+    Times are in milliseconds of its own monotonic clock.
+    """
 
     name: str
-    acceptors: tuple[str, ...]  # the names of all
+    acceptors: tuple[str, ...]  # the names of all acceptors, including this one
     store: StateStore
     times: LeaseTimes
     started_at: float
-    is_new_register: bool = False  # the register is being made: an empty store is no lost one
+    is_new_register: bool = False  # at first use, when an empty store does not mean lost state
     state: AcceptorState = field(default_factory=AcceptorState)
     leases: dict[str, GrantedLease] = field(default_factory=dict)  # by the holder's key
-    reported_states: dict[str, AcceptorState] = field(default_factory=dict)  # while its own is lost
+    reported_states: dict[str, AcceptorState] = field(default_factory=dict)  # by acceptor, during recovery
 
     def __post_init__(self) -> None:
         saved = self.store.load()
@@ -88,20 +92,23 @@
             self.state = AcceptorState.from_wire(saved)
         elif self.is_new_register:
             self._save()
-        # Leases of an earlier incarnation are forgotten and may still be in use until then.
+        # Leases granted by an earlier incarnation are unknown and may be in use until then.
         self.earlier_leases_end_at = self.started_at + self.times.acceptor_lease_ms
 
     @property
     def reports_needed(self) -> int:
-        """How many others have to report before an acceptor without its store votes again."""
+        """How many other acceptors have to report before one with lost state votes again."""
         return len(self.acceptors) - quorum_size(len(self.acceptors)) + 1
 
     def receive(self, message: WireMessage, now: float) -> WireMessage:
-        """Take one message and return the reply, which may be sent at once: all that it says is in the store.
-        Raises `MalformedMessageError`, with nothing changed."""
+        """Processes one message and returns the reply.
+
+        The reply may be sent at once, because the state that it reports has been saved. Raises
+        `MalformedMessageError` if the message is invalid; the state is unchanged then.
+        """
         kind = kind_of(message)
         if kind is Kind.STATE_REPORT:
-            return self._take_state_report(StateReport.from_wire(message)).to_wire()
+            return self._receive_state_report(StateReport.from_wire(message)).to_wire()
         if self.has_lost_state:
             return BriefReply(Kind.STATE_LOST, self.name).to_wire()
         if kind is Kind.STATE_REQUEST:
@@ -118,15 +125,15 @@
         if kind is Kind.LEASE_REQUEST:
             return self._grant_lease(LeaseRequest.from_wire(message), now)
         if kind is Kind.LEASE_RETURN:
-            return self._take_back_lease(LeaseReturn.from_wire(message))
-        raise MalformedMessageError(f"k: no request is of the kind {str(message.get('k'))[:20]!r}")
+            return self._release_lease(LeaseReturn.from_wire(message))
+        raise MalformedMessageError(f"k: unknown kind of request {str(message.get('k'))[:20]!r}")
 
-    # The register
+    # Promises and accepted values
 
     def _promise(self, request: Prepare) -> Promise | Rejected:
-        # A proposer asks for a version only if it knows the one before to be decided.
+        # A proposer prepares a version only if it knows that the previous one is decided.
         self._learn(Decided(request.version - 1, request.previous_value))
-        if not self._may_take(request.version, request.ballot):
+        if not self._is_acceptable(request.version, request.ballot):
             return self._reject(request.ballot)
         state = self.state
         if request.ballot > state.promised_ballot:
@@ -137,7 +144,7 @@
         )
 
     def _accept(self, request: Accept) -> Accepted | Rejected:
-        if not self._may_take(request.version, request.ballot):
+        if not self._is_acceptable(request.version, request.ballot):
             return self._reject(request.ballot)
         state = self.state
         state.promised_ballot = request.ballot
@@ -146,14 +153,14 @@
         self._save()
         return Accepted(self.name, self._decided(), request.ballot)
 
-    def _may_take(self, version: int, ballot: Ballot) -> bool:
+    def _is_acceptable(self, version: int, ballot: Ballot) -> bool:
         return version == self.state.decided_version + 1 and ballot >= self.state.promised_ballot
 
     def _reject(self, ballot: Ballot) -> Rejected:
         return Rejected(self.name, self._decided(), ballot, self.state.promised_ballot)
 
     def _learn(self, decided: Decided) -> Acknowledged:
-        """A version is decided.  One that was missed is learnt with the newest."""
+        """Records a decided version. Versions that were missed in between are skipped."""
         state = self.state
         if decided.version > state.decided_version:
             state.decided_version = decided.version
@@ -172,7 +179,7 @@
     def _grant_lease(
         self, request: LeaseRequest, now: float
     ) -> LeaseGranted | LeaseDeferred | LeaseRequestOutdated:
-        """Grant a lease for the newest decided version, unless leases for older ones may be out."""
+        """Grants a lease for the newest decided version, unless leases for older ones may be in use."""
         state = self.state
         holder = request.holder.key
         number = request.request_number
@@ -180,7 +187,7 @@
         if lease is not None and number <= lease.request_number:
             return LeaseRequestOutdated(self.name, self._decided(), NO_BALLOT, number)
         if lease is not None and lease.version < state.decided_version <= request.version:
-            del self.leases[holder]  # it decides by the newest version: it has given the older one up
+            del self.leases[holder]  # the holder already uses the newest version
         older_leases = [other for other in self.leases.values() if other.version < state.decided_version]
         older_leases_end_at = [other.expires_at for other in older_leases if other.expires_at > now]
         if state.leased_version < state.decided_version:
@@ -202,20 +209,20 @@
     def _defer_lease(self, request_number: int, retry_after_ms: int) -> LeaseDeferred:
         return LeaseDeferred(self.name, self._decided(), NO_BALLOT, request_number, retry_after_ms)
 
-    def _take_back_lease(self, returned: LeaseReturn) -> Acknowledged:
+    def _release_lease(self, returned: LeaseReturn) -> Acknowledged:
         lease = self.leases.get(returned.holder.key)
         if lease is not None and lease.request_number <= returned.request_number:
-            lease.expires_at = RETURNED_AT
+            lease.expires_at = RETURNED_LEASE_EXPIRES_AT
         return Acknowledged(self.name, self._decided(), NO_BALLOT)
 
     def drop_expired_leases(self, now: float) -> None:
-        """Bounds the memory: expired leases are forgotten."""
+        """Removes expired leases, to bound the memory."""
         for holder in [holder for holder, lease in self.leases.items() if lease.expires_at <= now]:
             del self.leases[holder]
 
-    # A store that is gone
+    # Recovery of lost state
 
-    def _take_state_report(self, report: StateReport) -> BriefReply:
+    def _receive_state_report(self, report: StateReport) -> BriefReply:
         if self.has_lost_state and report.acceptor in self.acceptors and report.acceptor != self.name:
             self.reported_states[report.acceptor] = report.state
             if len(self.reported_states) >= self.reports_needed:
@@ -224,22 +231,25 @@
         return BriefReply(kind, self.name)
 
     def _adopt_reported_states(self) -> None:
-        """No less than may have been promised: the newest version, and the greatest ballots for the one after
-        it."""
+        """Restores a state that covers all promises that this acceptor may have made.
+
+        It consists of the newest decided version and the greatest ballots for the version after it.
+        """
         newest = max(self.reported_states.values(), key=lambda state: state.decided_version)
-        at_newest = [
+        newest_states = [
             state
             for state in self.reported_states.values()
             if state.decided_version == newest.decided_version
         ]
-        last_accepted = max(at_newest, key=lambda state: state.accepted_ballot)
+        last_accepted = max(newest_states, key=lambda state: state.accepted_ballot)
         self.state = AcceptorState(
             decided_version=newest.decided_version,
             decided_value=newest.decided_value,
-            promised_ballot=max(state.promised_ballot for state in at_newest),
+            promised_ballot=max(state.promised_ballot for state in newest_states),
             accepted_ballot=last_accepted.accepted_ballot,
             accepted_value=last_accepted.accepted_value,
-            # Its own leases for an older version have to expire first, whatever the others granted.
+            # Leases granted by this acceptor for an older version have to expire first, whatever the others
+            # have granted.
             leased_version=0,
         )
         self._save()
--- a/scalelb/consensus/ballot.py
+++ b/scalelb/consensus/ballot.py
@@ -6,7 +6,7 @@
 
 
 class Ballot(NamedTuple):
-    """One attempt at a version; of two the greater one goes first."""
+    """Identifies one attempt to decide a version. Of two ballots the greater one takes precedence."""
 
     number: int
     proposer_incarnation: str  # makes the ballots of two proposers differ
@@ -16,5 +16,5 @@
 
 
 def quorum_size(acceptor_count: int) -> int:
-    """The size of a majority: any two of them share an acceptor."""
+    """Returns the size of a majority. Any two majorities have an acceptor in common."""
     return acceptor_count // 2 + 1
--- a/scalelb/consensus/messages.py
+++ b/scalelb/consensus/messages.py
@@ -1,7 +1,7 @@
-"""The requests to acceptors as types, what an acceptor keeps, and the form of both on the wire and in the
-store.
+"""The requests to acceptors and the stored state of an acceptor, with their encoding on the wire.
 
-`from_wire` raises `MalformedMessageError` for what can't be; fields that it does not know are ignored.
+The store uses the same encoding. `from_wire` raises `MalformedMessageError` for invalid input and ignores
+unknown fields.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
     promised_ballot: Ballot = NO_BALLOT
     accepted_ballot: Ballot = NO_BALLOT
     accepted_value: str = ""
-    leased_version: int = 0  # the version that leases were granted for last
+    leased_version: int = 0  # the version that leases were last granted for
 
     def to_wire(self) -> WireMessage:
-        """The form in the store and in state reports."""
+        """Encodes the state for the store and for state reports."""
         return {
             "version": self.decided_version,
             "value": self.decided_value,
@@ -45,7 +45,7 @@
 
     @classmethod
     def from_wire(cls, state: Any) -> AcceptorState:
-        """Strict; raises `MalformedMessageError`."""
+        """Decodes a state and checks every field; raises `MalformedMessageError`."""
         if not isinstance(state, dict):
             raise MalformedMessageError("state: not an object")
         return cls(
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks for a promise to accept nothing below `ballot` for `version`."""
+    """Asks for a promise to accept no ballot below `ballot` for `version`."""
 
     version: int
     ballot: Ballot
-    previous_value: str  # of the version before, which is decided
+    previous_value: str  # the decided value of the version before
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return {
             "k": Kind.PREPARE.value,
             "version": self.version,
@@ -80,7 +80,7 @@
 
     @classmethod
     def from_wire(cls, message: WireMessage) -> Prepare:
-        """Read a message; raises `MalformedMessageError`."""
+        """Decodes a message; raises `MalformedMessageError`."""
         ballot = read_ballot(message, "ballot")
         previous_value = read_value(message, "before")
         return cls(read_number(message, "version"), ballot, previous_value)
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Asks to accept `value` for `version`."""
+    """Asks an acceptor to accept `value` for `version`."""
 
     version: int
     value: str
     ballot: Ballot
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return {
             "k": Kind.ACCEPT.value,
             "version": self.version,
@@ -105,57 +105,59 @@
 
     @classmethod
     def from_wire(cls, message: WireMessage) -> Accept:
-        """Read a message; raises `MalformedMessageError`."""
+        """Decodes a message; raises `MalformedMessageError`."""
         ballot = read_ballot(message, "ballot")
         return cls(read_number(message, "version"), read_value(message, "value"), ballot)
 
 
 @dataclass(frozen=True, slots=True)
 class Decided:
-    """`version` is decided as `value`: a message of its own, and a part of each `Reply`."""
+    """Reports that `version` is decided as `value`. A separate message, and also part of each `Reply`."""
 
     version: int
     value: str
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return {"k": Kind.DECIDED.value, "version": self.version, "value": self.value}
 
     @classmethod
     def from_wire(cls, message: WireMessage) -> Decided:
-        """Read a message; raises `MalformedMessageError`."""
+        """Decodes a message; raises `MalformedMessageError`."""
         return cls(read_number(message, "version"), read_value(message, "value"))
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseHolder:
-    """One incarnation of a limiter.  By incarnation, not by name alone: an earlier one may be stalled, and go
-    on with the leases that it was granted."""
+    """One incarnation of a limiter that holds leases.
+
+    The name alone is not enough: an earlier incarnation may be stalled, and resume with its leases.
+    """
 
     name: str
     incarnation: str
 
     @classmethod
     def from_wire(cls, message: WireMessage) -> LeaseHolder:
-        """Read a message; raises `MalformedMessageError`."""
+        """Decodes the holder in a message; raises `MalformedMessageError`."""
         return cls(read_name(message, "holder"), read_name(message, "life"))
 
     @property
     def key(self) -> str:
-        """Under which an acceptor keeps the holder's lease."""
+        """The key of the holder's lease at an acceptor."""
         return f"{self.name} {self.incarnation}"
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """A learner that decides by `version` until now asks for a lease for the newest one."""
+    """Asks for a lease for the newest version; `version` is the one that the learner uses so far."""
 
     holder: LeaseHolder
     request_number: int
     version: int
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return {
             "k": Kind.LEASE_REQUEST.value,
             "holder": self.holder.name,
@@ -166,20 +168,20 @@
 
     @classmethod
     def from_wire(cls, message: WireMessage) -> LeaseRequest:
-        """Read a message; raises `MalformedMessageError`."""
+        """Decodes a message; raises `MalformedMessageError`."""
         holder = LeaseHolder.from_wire(message)
         return cls(holder, read_number(message, "ask"), read_number(message, "version"))
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseReturn:
-    """A learner uses no lease of this request or an earlier one any more."""
+    """Returns the leases that were granted for this request and for earlier ones."""
 
     holder: LeaseHolder
     request_number: int
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return {
             "k": Kind.LEASE_RETURN.value,
             "holder": self.holder.name,
@@ -189,31 +191,31 @@
 
     @classmethod
     def from_wire(cls, message: WireMessage) -> LeaseReturn:
-        """Read a message; raises `MalformedMessageError`."""
+        """Decodes a message; raises `MalformedMessageError`."""
         return cls(LeaseHolder.from_wire(message), read_number(message, "ask"))
 
 
 @dataclass(frozen=True, slots=True)
 class StateRequest:
-    """An acceptor that has lost its store asks the others for theirs."""
+    """Asks another acceptor for its state, after the own store was lost."""
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return {"k": Kind.STATE_REQUEST.value}
 
 
 @dataclass(frozen=True, slots=True)
 class StateReport:
-    """What one acceptor keeps in its store."""
+    """The stored state of one acceptor."""
 
     acceptor: str
     state: AcceptorState
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return {"k": Kind.STATE_REPORT.value, "from": self.acceptor, "state": self.state.to_wire()}
 
     @classmethod
     def from_wire(cls, message: WireMessage) -> StateReport:
-        """Read a message; raises `MalformedMessageError`."""
+        """Decodes a message; raises `MalformedMessageError`."""
         return cls(read_name(message, "from"), AcceptorState.from_wire(message.get("state")))
--- a/scalelb/consensus/replies.py
+++ b/scalelb/consensus/replies.py
@@ -1,6 +1,6 @@
-"""The replies of an acceptor, as types for who sends them and as readers for who gets them.
+"""The replies of an acceptor: types for the sender, and functions that read single fields for the receiver.
 
-A proposer and a learner check only the fields that they use at that moment, so there is one reader for each.
+Proposers and learners check only the fields that they use at that moment, so each field has its own function.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class BriefReply:
-    """The reply to a state report, and of an acceptor that has lost its store."""
+    """The reply to a state report, and any reply of an acceptor that has lost its state."""
 
     kind: Kind
     acceptor: str
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return {"k": self.kind.value, "voter": self.acceptor}
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What all other replies tell: whose it is, on which ballot, and the newest decided version."""
+    """The fields of all other replies: the acceptor, the newest decided version and the ballot."""
 
     kind: ClassVar[Kind]
 
@@ -36,7 +36,7 @@
     ballot: Ballot
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return {
             "k": self.kind.value,
             "ballot": list(self.ballot),
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise(Reply):
-    """Nothing below the ballot will be accepted; what was accepted so far."""
+    """Promises to accept no lower ballot, and contains the proposal that was accepted last."""
 
     kind = Kind.PROMISE
 
@@ -56,34 +56,34 @@
     accepted_value: str
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         fields = {"accepted": list(self.accepted_ballot), "proposed": self.accepted_value}
         return Reply.to_wire(self) | fields
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted(Reply):
-    """The value was accepted on the ballot."""
+    """The acceptor has accepted the value for the ballot."""
 
     kind = Kind.ACCEPTED
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected(Reply):
-    """The ballot is below one that was promised, or the version is not the next one."""
+    """The ballot is below the promised one, or the version is not the next one."""
 
     kind = Kind.REJECTED
 
     promised_ballot: Ballot
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return Reply.to_wire(self) | {"promised": list(self.promised_ballot)}
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged(Reply):
-    """The message was taken."""
+    """The message was processed."""
 
     kind = Kind.ACKNOWLEDGED
 
@@ -97,13 +97,16 @@
     request_number: int
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return Reply.to_wire(self) | {"ask": self.request_number}
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseDeferred(Reply):
-    """No lease before `retry_after_ms`: earlier ones are out, or there are too many."""
+    """No lease is granted yet, as older ones are in use or there are too many.
+
+    The request may be repeated after `retry_after_ms`.
+    """
 
     kind = Kind.LEASE_DEFERRED
 
@@ -111,46 +114,46 @@
     retry_after_ms: int
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return Reply.to_wire(self) | {"ask": self.request_number, "wait": self.retry_after_ms}
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequestOutdated(Reply):
-    """A newer request of this holder was granted already."""
+    """This request of the holder, or a newer one, was granted already."""
 
     kind = Kind.LEASE_REQUEST_OUTDATED
 
     request_number: int
 
     def to_wire(self) -> WireMessage:
-        """Return the message in its form on the wire."""
+        """Encodes the message for the wire."""
         return Reply.to_wire(self) | {"ask": self.request_number}
 
 
-# Readers
+# Functions that read fields of a reply
 
 
 def replying_acceptor(message: WireMessage) -> str:
-    """Whose reply it is."""
+    """Returns the name of the acceptor that sent a reply."""
     return read_name(message, "voter")
 
 
 def reply_ballot(message: WireMessage) -> Ballot:
-    """The ballot that a reply is about."""
+    """Returns the ballot of a reply."""
     return read_ballot(message, "ballot")
 
 
 def promised_ballot(message: WireMessage) -> Ballot:
-    """Of a rejection: the ballot that was promised."""
+    """Returns the promised ballot of a rejection."""
     return read_ballot(message, "promised")
 
 
 def accepted_proposal(message: WireMessage) -> tuple[Ballot, str]:
-    """Of a promise: the ballot and the value that were accepted before."""
+    """Returns the ballot and value of a promise that were accepted before."""
     return read_ballot(message, "accepted"), read_value(message, "proposed")
 
 
 def request_number(message: WireMessage) -> int:
-    """Of a granted lease: the request that it answers."""
+    """Returns the number of the request that a granted lease answers."""
     return read_number(message, "ask")
--- a/scalelb/consensus/wire.py
+++ b/scalelb/consensus/wire.py
@@ -1,7 +1,7 @@
 """Reads the fields of messages and stored states.
 
-On the wire a message is a plain dict of JSON values, so that any link can carry it. All readers raise
-`MalformedMessageError`, before the caller has changed anything.
+On the wire a message is a plain dict of JSON values, so that any link can carry it. All functions that read a
+field raise `MalformedMessageError` for an invalid value, before the caller has changed anything.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 WireMessage = dict[str, Any]
 
-MAX_NUMBER = 2**53  # the greatest whole number that every JSON reader keeps exactly
+MAX_NUMBER = 2**53  # the greatest integer that every JSON reader preserves exactly
 MAX_NAME_CHARACTERS = 128
 MAX_VALUE_CHARACTERS = 65_536
 
 
 class MalformedMessageError(ValueError):
-    """A message or a stored state that can't be; the text names the field.  Nothing of it was taken."""
+    """An invalid message or stored state, of which nothing was applied. The message names the field."""
 
 
 class Kind(StrEnum):
-    """The kinds of messages; the values are those on the wire."""
+    """The kinds of messages. The values are used on the wire."""
 
     # Proposer to acceptors
     PREPARE = "prepare"
@@ -36,7 +36,7 @@
     # Between acceptors
     STATE_REQUEST = "tell"
     STATE_REPORT = "told"
-    # An acceptor's replies
+    # Replies of an acceptor
     PROMISE = "promise"
     ACCEPTED = "accepted"
     REJECTED = "no"
@@ -48,7 +48,7 @@
 
 
 def kind_of(message: Mapping[str, Any]) -> Kind | None:
-    """The kind of a message; None for one that is not known."""
+    """Returns the kind of a message, or None if it is unknown."""
     try:
         return Kind(message.get("k") or "")
     except ValueError:
@@ -56,10 +56,10 @@
 
 
 def read_ballot(message: Mapping[str, Any], key: str) -> Ballot:
-    """A ballot."""
+    """Reads a ballot."""
     value = message.get(key)
     if not isinstance(value, list | tuple) or len(value) != 2 or not isinstance(value[1], str):
-        raise MalformedMessageError(f"{key}: not a ballot [number, incarnation]")
+        raise MalformedMessageError(f"{key}: expected a ballot [number, incarnation]")
     number, incarnation = value
     if not number:
         return NO_BALLOT
@@ -67,30 +67,30 @@
 
 
 def read_number(message: Mapping[str, Any], key: str) -> int:
-    """A whole number from 0 to `MAX_NUMBER`."""
+    """Reads an integer from 0 to `MAX_NUMBER`."""
     return _checked_number(message.get(key), key)
 
 
 def read_name(message: Mapping[str, Any], key: str) -> str:
-    """A short text that is not empty."""
+    """Reads a string of 1 to `MAX_NAME_CHARACTERS` characters."""
     return _checked_name(message.get(key), key)
 
 
 def read_value(message: Mapping[str, Any], key: str) -> str:
-    """A policy, as the text that was proposed."""
+    """Reads a policy, which is a string of at most `MAX_VALUE_CHARACTERS` characters."""
     value = message.get(key)
     if not isinstance(value, str) or len(value) > MAX_VALUE_CHARACTERS:
-        raise MalformedMessageError(f"{key}: not a text of at most {MAX_VALUE_CHARACTERS} characters")
+        raise MalformedMessageError(f"{key}: expected a string of at most {MAX_VALUE_CHARACTERS} characters")
     return value
 
 
 def _checked_number(value: Any, key: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MAX_NUMBER:
-        raise MalformedMessageError(f"{key}: not a whole number from 0 to 2**53")
+        raise MalformedMessageError(f"{key}: expected an integer from 0 to 2**53")
     return value
 
 
 def _checked_name(value: Any, key: str) -> str:
     if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_CHARACTERS:
-        raise MalformedMessageError(f"{key}: not a text of 1 to {MAX_NAME_CHARACTERS} characters")
+        raise MalformedMessageError(f"{key}: expected a string of 1 to {MAX_NAME_CHARACTERS} characters")
     return value
--- a/scalelb/replication/__init__.py
+++ b/scalelb/replication/__init__.py
@@ -1,10 +1,11 @@
-"""Replicated state between limiters, and what becomes of it when some of them fail.  No I/O: clocks,
-randomness and frames are passed in.  Nothing here knows what an entry means to a limiter;
-`program/peering.py` does.
+"""State that limiters replicate to each other, and detection of failed limiters.
 
-`replicated_log` is the data, `topology` says who is linked, `frames` is the form on the wire, `gossip`
-exchanges logs over links, `membership` detects failures, `settling` says when an incarnation may write, and
-`replicator` joins them into one limiter's replica.
+The package does no I/O: clocks, randomness and frames are passed in. It doesn't interpret the entries that it
+replicates; `program/peering.py` does.
+
+`replicated_log` holds the data, `topology` determines which members are linked, `frames` encodes and decodes
+the frames on the wire, `gossip` exchanges logs over links, `membership` detects failures, `settling`
+determines when an incarnation may write, and `replicator` combines them into the replica of one limiter.
 """
 
 from scalelb.replication.frames import MalformedFrameError
--- a/scalelb/replication/membership.py
+++ b/scalelb/replication/membership.py
@@ -1,8 +1,8 @@
-"""Detects failures of members, by their silence and by what the others say of them.
+"""Detects failed members by missing frames and by the reports of other members.
 
-Whoever hears nothing from a neighbour reports it in its own log (`down:NAME`). One report makes a member
-suspect, two make it dead, and a member that is reported refutes that by writing on. Whoever hears nothing on
-any link suspects itself and reports nobody.
+A member that receives nothing from a neighbour reports it in its own log, under `down:NAME`. One report makes
+the neighbour suspect, two make it dead. A reported member refutes the reports by continuing to write to its
+log. A member that receives nothing on any link suspects itself and reports no other member.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from scalelb.replication.topology import Topology
 
 DOWN_KEY_PREFIX = "down:"
-REPORTS_TO_DECLARE_DEAD = 2  # where there are so many others
+REPORTS_TO_DECLARE_DEAD = 2  # or the number of other members, if that is smaller
 
 
 class MemberState(Enum):
-    """A member as this limiter sees it; the values stand in the log lines."""
+    """The state of a member as seen by this limiter. The values appear in log lines."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -29,7 +29,10 @@
 
 
 class Membership:
-    """Who is there, as one limiter sees it.  Times are ms of its own monotonic clock."""
+    """The states of all members as seen by one limiter.
+
+    Times are in milliseconds of the limiter's own monotonic clock.
+    """
 
     def __init__(
         self,
@@ -44,52 +47,57 @@
         self.replica = replica
         self.links = links
         self.started_at = started_at
-        self.link_lost_at: dict[str, float] = {}  # when a link that should be up was last up, by member
-        self.log_advanced_at: dict[str, float] = {}  # when a member's log last went on, by member
+        self.link_lost_at: dict[str, float] = {}  # by member: when the link that is now down was lost
+        self.log_advanced_at: dict[str, float] = {}  # by member: when its log last advanced
+
+    def unresponsive_neighbours(self, now: float) -> set[str]:
+        """Returns the neighbours to report.
 
-    def silent_neighbours(self, now: float) -> set[str]:
-        """Neighbours to report; none if all are silent: then it is this limiter that is cut off."""
+        The set is empty if no neighbour out of several responds: then this limiter itself is isolated.
+        """
         neighbours = self.topology.neighbours
-        silent = {name for name in neighbours if self._is_silent(name, now)}
-        if len(silent) == len(neighbours) > 1:
+        unresponsive = {name for name in neighbours if self._is_unresponsive(name, now)}
+        if len(unresponsive) == len(neighbours) > 1:
             return set()
-        return silent
+        return unresponsive
+
+    def report_on(self, name: str, is_unresponsive: bool) -> list[int] | None:
+        """Returns the value of this limiter's own `down:NAME` entry on a neighbour.
 
-    def report_on(self, name: str, is_silent: bool) -> list[int] | None:
-        """The value of this limiter's own entry on a neighbour: the incarnation that it reports; None: no
-        report."""
+        The value identifies the reported incarnation; None means that there is nothing to report.
+        """
         incarnation = self.replica.newest_incarnation(name)
-        if not is_silent or incarnation is None:
+        if not is_unresponsive or incarnation is None:
             return None
-        return _report(incarnation)
+        return _report_value(incarnation)
 
-    def _is_silent(self, name: str, now: float) -> bool:
+    def _is_unresponsive(self, name: str, now: float) -> bool:
         link = self.links.get(name)
         if link is not None:
-            last_heard_at = link.last_heard_at
+            last_received_at = link.last_received_at
         else:
-            last_heard_at = self.link_lost_at.get(name, self.started_at)
-        return now - last_heard_at > self.settings.suspect_after_ms
+            last_received_at = self.link_lost_at.get(name, self.started_at)
+        return now - last_received_at > self.settings.suspect_after_ms
 
     def reporters(self, name: str, incarnation: Incarnation | None) -> Iterator[str]:
-        """Members that report an incarnation of `name` as silent now."""
+        """Yields the members that currently report an incarnation of `name` as unresponsive."""
         if incarnation is None:
             return
         for other, log in self.replica.logs.items():
             entry: Entry | None = log.entries.get(DOWN_KEY_PREFIX + name)
-            is_reported = entry is not None and entry.value == _report(incarnation)
+            is_reported = entry is not None and entry.value == _report_value(incarnation)
             if not is_reported or other.name == name:
                 continue
             if self.replica.newest_incarnation(other.name) == other:
                 yield other.name
 
     def is_isolated(self, now: float) -> bool:
-        """Whether nothing is heard on any link: this limiter, rather than all others, is cut off."""
+        """Whether no neighbour responds, so that this limiter rather than all others is disconnected."""
         has_others = len(self.topology.members) > 1
-        return has_others and all(self._is_silent(name, now) for name in self.topology.neighbours)
+        return has_others and all(self._is_unresponsive(name, now) for name in self.topology.neighbours)
 
     def state(self, name: str, now: float) -> MemberState:
-        """A member as it is seen from here."""
+        """Returns the state of a member as seen by this limiter."""
         if name == self.settings.name:
             return MemberState.SUSPECT if self.is_isolated(now) else MemberState.ALIVE
         newest = self.replica.newest_incarnation(name)
@@ -102,9 +110,9 @@
         return MemberState.DEAD if len(reporters) >= needed and not has_refuted else MemberState.SUSPECT
 
     def present_members(self, now: float) -> list[str]:
-        """Members that are not dead, in the order of their names."""
+        """Returns the members that are not dead, sorted by name."""
         return [name for name in self.topology.members if self.state(name, now) is not MemberState.DEAD]
 
 
-def _report(incarnation: Incarnation) -> list[int]:
+def _report_value(incarnation: Incarnation) -> list[int]:
     return [incarnation.number, incarnation.nonce]
--- a/scalelb/replication/replicated_log.py
+++ b/scalelb/replication/replicated_log.py
@@ -1,15 +1,15 @@
-"""Replicated state: one log of entries for each incarnation of each limiter, written by that incarnation
-alone.
-
-A log is what scuttlebutt reconciliation needs (van Renesse, Dumitriu, Gough, Thomas, 2008): every write takes
-the log's next version, an entry keeps only its newest value, and "all up to version v" says exactly what a
-copy holds. Two copies of one log are merged by taking the newer value of each entry, so that the merge is
-commutative, associative and idempotent, and a copy only ever grows in versions. No clock decides anything: an
-entry has one writer, and its versions are the writer's own order.
-
-Deletions are writes too. An entry that is deleted leaves a tombstone; once that is `TOMBSTONE_MS` old it is
-dropped and the log's floor rises to its version. A copy that stands below the floor may hold entries whose
-deletion it can't learn any more: it is given the log in full, and what is not in there goes.
+"""Replicated state: one log for each incarnation of each limiter, written only by that incarnation.
+
+A log has the properties that scuttlebutt reconciliation needs (van Renesse, Dumitriu, Gough, Thomas, 2008):
+every write takes the log's next version, an entry keeps only its newest value, and "all up to version v"
+describes exactly what a copy holds. Two copies of one log are merged by taking the newer value of each entry.
+The merge is therefore commutative, associative and idempotent, and never decreases the version of a copy.
+Clocks are not used to order writes: an entry has one writer, and its versions are in the writer's own order.
+
+Deletions are writes too. A deleted entry leaves a tombstone. When the tombstone is `TOMBSTONE_MS` old it is
+dropped, and the log's floor rises to the tombstone's version. A copy whose version is below the floor may
+hold entries whose deletion it can no longer receive. It is therefore sent the log in full, and drops every
+entry that is not in the full copy.
 """
 
 from __future__ import annotations
@@ -19,15 +19,18 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-TOMBSTONE_MS = 60_000.0  # how long a deletion can be learnt; a copy that was away for longer is sent in full
-MAX_ENTRIES = 131_072  # of one log
-COMPACTION_SLACK = 256  # overwritten writes that stay in the write order before it is made anew
-CLOSED_KEY = "!closed"  # an incarnation has taken account of all earlier ones' logs
+TOMBSTONE_MS = 60_000.0  # a copy that was not updated for longer has to be sent in full
+MAX_ENTRIES = 131_072  # per log
+COMPACTION_SLACK = 256  # overwritten writes that may remain in the write order before it is compacted
+CLOSED_KEY = "!closed"  # its presence closes the logs of all earlier incarnations of the writer
 
 
 class Incarnation(NamedTuple):
-    """One life of a limiter's process.  Of one name the greatest is the newest; `nonce` tells two apart that
-    began without hearing of each other."""
+    """One run of a limiter's process.
+
+    Of the incarnations of one name, the greatest is the newest. The nonce distinguishes two incarnations that
+    took the same number because neither knew of the other.
+    """
 
     name: str
     number: int
@@ -35,14 +38,14 @@
 
 
 class Entry(NamedTuple):
-    """A value and the version of its write; the value None is a tombstone."""
+    """A value and the version of its write. The value None is a tombstone."""
 
     version: int
     value: Any
 
 
 class LogState(NamedTuple):
-    """What a copy of a log holds: all writes up to `version`, without the tombstones up to `floor`."""
+    """The extent of a copy of a log: all writes up to `version`, without the tombstones up to `floor`."""
 
     version: int
     floor: int
@@ -53,23 +56,27 @@
 
 @dataclass
 class ReplicatedLog:
-    """An incarnation's entries, or a copy of them.  Times are ms of the holder's monotonic clock."""
+    """The entries of an incarnation, or a copy of them.
+
+    Times are in milliseconds of the monotonic clock of the limiter that holds the log.
+    """
 
     entries: dict[str, Entry] = field(default_factory=dict)
-    # All writes here in their order, and the keys of the same writes; readers skip overwritten ones.
+    # The versions of all writes in ascending order, and the keys of the same writes. Readers skip writes that
+    # were overwritten.
     write_versions: list[int] = field(default_factory=list)
     write_keys: list[str] = field(default_factory=list)
     version: int = 0
     floor: int = 0
-    tombstoned_at: dict[str, float] = field(default_factory=dict)  # when tombstones came here, oldest first
+    tombstoned_at: dict[str, float] = field(default_factory=dict)  # time of each tombstone, oldest first
 
     @property
     def state(self) -> LogState:
-        """What is held here."""
+        """The extent of this log or copy."""
         return LogState(self.version, self.floor)
 
     def write(self, key: str, value: Any, now: float) -> None:
-        """The owner's next write; the value None deletes the entry."""
+        """Writes an entry as the owner of the log. The value None deletes the entry."""
         if value is None and key not in self.entries:
             return
         self.version += 1
@@ -86,21 +93,21 @@
             self.tombstoned_at[key] = now
 
     def _compact_write_order(self) -> None:
-        """Bounds the memory: each write would leave one item for good."""
+        """Removes overwritten writes from the write order, which would otherwise grow with every write."""
         newest = sorted((entry.version, key) for key, entry in self.entries.items())
         self.write_versions = [version for version, _ in newest]
         self.write_keys = [key for _, key in newest]
 
     def entries_after(self, version: int) -> Iterator[tuple[str, Entry]]:
-        """What a copy that holds all up to `version` lacks, in the order of the writes."""
-        for place in range(bisect_right(self.write_versions, version), len(self.write_versions)):
-            key = self.write_keys[place]
+        """Yields the entries that a copy at `version` lacks, in the order of the writes."""
+        for index in range(bisect_right(self.write_versions, version), len(self.write_versions)):
+            key = self.write_keys[index]
             entry = self.entries.get(key)
-            if entry is not None and entry.version == self.write_versions[place]:
+            if entry is not None and entry.version == self.write_versions[index]:
                 yield key, entry
 
     def begin_full_copy(self, floor: int) -> None:
-        """A full copy begins: nothing that stands here counts any more."""
+        """Clears this copy, because a full copy of the log follows."""
         self.entries.clear()
         self.write_versions.clear()
         self.write_keys.clear()
@@ -111,11 +118,12 @@
     def merge(
         self, after: int, up_to: int, floor: int, entries: Iterable[tuple[str, Entry]], now: float
     ) -> list[tuple[str, Any]] | None:
-        """Merge what another copy holds after the version `after`, all up to `up_to` in the order of the
-        writes; tombstones up to its `floor` need not be kept.
+        """Merges the entries of another copy that were written after version `after`, up to `up_to`.
+
+        The entries are in the order of the writes. Tombstones up to `floor` are dropped.
 
-        Returns the keys and values that are new here; None where something before `after` is missing here,
-        and nothing was taken.
+        Returns the keys and values that are new in this copy, or None if this copy lacks writes before
+        `after`; in that case nothing is merged.
         """
         if after > self.version:
             return None
@@ -134,7 +142,7 @@
         return merged
 
     def drop_old_tombstones(self, now: float) -> None:
-        """For the owner's log only: the floors of the copies follow."""
+        """Drops expired tombstones and raises the floor. Only the owner does this; copies adopt its floor."""
         for key, tombstoned_at in list(self.tombstoned_at.items()):
             if now - tombstoned_at <= TOMBSTONE_MS:
                 break
@@ -142,34 +150,34 @@
             del self.tombstoned_at[key]
 
     def live_entries(self) -> Iterator[tuple[str, Any]]:
-        """Keys and values of the entries that are not deleted."""
+        """Yields the keys and values of the entries that are not deleted."""
         return ((key, entry.value) for key, entry in self.entries.items() if entry.value is not None)
 
 
 class Replica:
-    """All logs that one limiter holds: its own, and copies of the others'."""
+    """All logs that one limiter holds: its own, and copies of the other members' logs."""
 
     def __init__(self, max_logs: int) -> None:
         self.logs: dict[Incarnation, ReplicatedLog] = {}
-        self.max_logs = max_logs  # bounds the memory against incarnations that come and go
+        self.max_logs = max_logs  # bounds the memory, as peers may send any number of incarnations
 
     def log_of(self, incarnation: Incarnation) -> ReplicatedLog | None:
-        """The log of an incarnation, made where there is none; None where there is no room for one more."""
+        """Returns the log of an incarnation, created if needed, or None if `max_logs` is reached."""
         log = self.logs.get(incarnation)
         if log is None and len(self.logs) < self.max_logs:
             log = self.logs[incarnation] = ReplicatedLog()
         return log
 
     def newest_incarnation(self, name: str) -> Incarnation | None:
-        """The newest known incarnation of a name."""
+        """Returns the newest known incarnation of a name."""
         return max((incarnation for incarnation in self.logs if incarnation.name == name), default=None)
 
     def incarnations(self, name: str) -> list[Incarnation]:
-        """All known incarnations of a name, the newest last."""
+        """Returns all known incarnations of a name, oldest first."""
         return sorted(incarnation for incarnation in self.logs if incarnation.name == name)
 
     def is_closed(self, incarnation: Incarnation) -> bool:
-        """Whether a newer incarnation of the name has taken account of this one's log."""
+        """Whether a newer incarnation of the same name has closed this one's log."""
         for other in reversed(self.incarnations(incarnation.name)):
             if other <= incarnation:
                 return False
@@ -178,15 +186,15 @@
         return False
 
     def versions(self) -> dict[Incarnation, int]:
-        """Up to which version each log is held."""
+        """Returns the version of each log."""
         return {incarnation: log.version for incarnation, log in self.logs.items()}
 
     def drop(self, incarnation: Incarnation) -> None:
-        """Drop a log."""
+        """Removes the log of an incarnation, if there is one."""
         self.logs.pop(incarnation, None)
 
     def has_same_entries(self, other: Replica) -> bool:
-        """Whether two replicas hold the same entries, logs without entries aside."""
+        """Whether both replicas hold the same live entries. Logs without live entries are ignored."""
         return self._live_entries() == other._live_entries()
 
     def _live_entries(self) -> dict[Incarnation, dict[str, Any]]:
--- a/scalelb/replication/settling.py
+++ b/scalelb/replication/settling.py
@@ -1,4 +1,7 @@
-"""When an incarnation may begin to write: once it holds what the others held, or nobody is there to ask."""
+"""Determines when a new incarnation has settled and may write.
+
+An incarnation has settled when it has copied what its settled peers held, or when no settled peer is linked.
+"""
 
 from __future__ import annotations
 
@@ -9,19 +12,22 @@
 from scalelb.replication.settings import ReplicationSettings
 from scalelb.replication.topology import Topology
 
-MAX_SETTLING_RATIO = 10  # of `settle_alone_after_ms`: no peer can hold an incarnation up for longer
+MAX_SETTLING_RATIO = 10  # times `settle_alone_after_ms`; peers can't delay an incarnation for longer
 
 
 class SettlingState(Enum):
-    """How far an incarnation has come."""
+    """The progress of an incarnation towards being settled."""
 
     COPYING = "copying"
-    COPIED = "copied"  # all is here that each settled peer held when they met
-    ALONE = "alone"  # no settled peer is there, or they have held it up for too long
+    COPIED = "copied"  # everything that each settled peer held at the start of its link has been copied
+    ALONE = "alone"  # no settled peer is linked, or copying has taken too long
 
 
 class Settling:
-    """The start of one incarnation.  Times are ms of its own monotonic clock."""
+    """The initial synchronization of one incarnation.
+
+    Times are in milliseconds of the limiter's own monotonic clock.
+    """
 
     def __init__(
         self,
@@ -36,26 +42,28 @@
         self.replica = replica
         self.links = links
         self.started_at = started_at
-        self.last_copied_at = started_at  # when entries last came
+        self.last_copied_at = started_at  # when entries were last received
 
     def state(self, now: float) -> SettlingState:
-        """How far it has come."""
-        met = [link for link in self.links.values() if link.initial_versions is not None and link.is_settled]
-        if self._is_alone(met, now):
+        """Returns the current state of the synchronization."""
+        settled_links = [
+            link for link in self.links.values() if link.initial_versions is not None and link.is_settled
+        ]
+        if self._is_alone(settled_links, now):
             return SettlingState.ALONE
-        return SettlingState.COPIED if self._has_copied_all(met, now) else SettlingState.COPYING
+        return SettlingState.COPIED if self._has_copied_all(settled_links, now) else SettlingState.COPYING
 
-    def _is_alone(self, met: list[Link], now: float) -> bool:
+    def _is_alone(self, settled_links: list[Link], now: float) -> bool:
         alone_ms = self.settings.settle_alone_after_ms
-        # Entries that came last put it off: a link that broke in the middle of a copy comes back.
-        has_nobody = now - self.last_copied_at > alone_ms and not met
-        return has_nobody or now - self.started_at > MAX_SETTLING_RATIO * alone_ms
+        # The wait restarts with each entry received: a link that broke during a copy is expected to return.
+        has_no_settled_peer = now - self.last_copied_at > alone_ms and not settled_links
+        return has_no_settled_peer or now - self.started_at > MAX_SETTLING_RATIO * alone_ms
 
-    def _has_copied_all(self, met: list[Link], now: float) -> bool:
+    def _has_copied_all(self, settled_links: list[Link], now: float) -> bool:
         has_all_links = len(self.links) >= len(self.topology.neighbours)
         if not has_all_links and now - self.started_at < self.settings.wait_for_links_ms:
             return False
-        return bool(met) and all(map(self._has_copied_from, met))
+        return bool(settled_links) and all(map(self._has_copied_from, settled_links))
 
     def _has_copied_from(self, link: Link) -> bool:
         if not link.is_settled or link.initial_versions is None or link.has_more_initial:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -565,7 +565,7 @@
     new.write("k0", 2, cluster.now)
     assert len(new.unsettled_writes) == MAX_ENTRIES
     assert new.unsettled_writes["k0"] == 2
-    new._stand_down(new.incarnation._replace(number=9))
+    new._mark_closed(new.incarnation._replace(number=9))
     assert not new.unsettled_writes
 
 
