--- a/scalelb/replication/frames.py
+++ b/scalelb/replication/frames.py
@@ -130,7 +130,7 @@
     if not isinstance(is_full_copy, bool):
         raise MalformedFrameError("news: c: the full-copy flag is not true or false")
     if up_to < after:
-        raise MalformedFrameError(f"news: c: the log ends at version {up_to}, before its start at {after}")
+        raise MalformedFrameError(f"news: c: the delta ends at version {up_to}, before its start at {after}")
     if len(item[7]) > DELTA_BUDGET_BYTES:
         raise MalformedFrameError(f"news: c: more than {DELTA_BUDGET_BYTES} entries")
     entries = []
