--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -1,8 +1,8 @@
-"""What limiters store and send to each other, written and read by the present code.
+"""Writes and reads, with the present code, the data that limiters store and send to each other.
 
-The files in `tests/data/b1c877a` were written by the code of commit b1c877a, through this module as it
-stands in commit c7a90a0: `python tests/stored_formats.py FOLDER`.  `tests/test_stored_formats.py` compares
-them with the present code, which it names through this module only.
+The files in `tests/data/b1c877a` were written by the code of commit b1c877a, with the version of this module
+in commit c7a90a0: `python tests/stored_formats.py FOLDER`. `tests/test_stored_formats.py` compares them with
+the present code, which it uses only through this module.
 """
 
 from __future__ import annotations
@@ -41,19 +41,19 @@
 from scalelb.transport.peerlink import PeerLinks
 
 DATA = Path(__file__).parent / "data" / "b1c877a"
-NOW_MS = 1_700_000_000_000.0  # when the data was written, by the clock that was passed in
-INCARNATION = 3  # that left the files of the handover
+NOW_MS = 1_700_000_000_000.0  # the time at which the data was written, as passed in
+INCARNATION = 3  # the incarnation that wrote the handover files
 
 
 def ignore(event: str, **fields: Any) -> None:
-    """A log that keeps nothing."""
+    """A log function that discards all lines."""
 
 
 # Handover files: `life-N`, `ready-N`, `left-N`, `bans-N`
 
 
 def start_incarnation(folder: Path) -> Incarnation:
-    """The next incarnation among those that share this folder."""
+    """Registers the next incarnation among those that share a folder."""
     incarnation = Incarnation(str(folder), ignore)
     incarnation.register()
     return incarnation
@@ -61,7 +61,7 @@
 
 @contextmanager
 def running_predecessor(folder: Path, names: tuple[str, ...]) -> Iterator[Incarnation]:
-    """The stored files of an incarnation that still runs, and the one that has started after it."""
+    """Copies stored files of a predecessor that still runs, and yields its successor."""
     shared = folder / "scalelb"
     shared.mkdir()
     for name in names:
@@ -75,21 +75,21 @@
 
 
 def write_handover_files(
-    folder: Path, account: dict[str, Any], overrides: dict[str, Override]
+    folder: Path, handover: dict[str, Any], overrides: dict[str, Override]
 ) -> dict[str, bytes]:
-    """What incarnation 3 leaves to its successor."""
+    """Returns the files that incarnation 3 writes for its successor."""
     shared = folder / "scalelb"
     shared.mkdir(parents=True)
-    (shared / f"life-{INCARNATION - 1}").touch()  # so that the next number is 3
+    (shared / f"life-{INCARNATION - 1}").touch()  # so that the next incarnation has number 3
     incarnation = start_incarnation(folder)
     incarnation.announce_ready()
     incarnation.publish_overrides(overrides)
-    incarnation.hand_over(account)
+    incarnation.hand_over(handover)
     os.close(incarnation.lock_descriptor)
     return {path.name: path.read_bytes() for path in shared.iterdir() if path.name.endswith("-3")}
 
 
-# The account inside `left-N`
+# The handover in `left-N`
 
 KEYED_CLASS = replace(SAFE, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window_ms=5000.0)
 HANDOVER_SETTINGS = replace(
@@ -98,21 +98,24 @@
     plans=(
         Plan(rate_per_s=4.0, burst=16.0),
         Plan(),
-        Plan(rate_per_s=2.0, burst=3.0),  # two limiters keep one bucket for it, on the counter
-        Plan(rate_per_s=0.05, burst=16.0),  # is not full again for minutes
+        Plan(rate_per_s=2.0, burst=3.0),  # its bucket is on the counter, shared by two limiters
+        Plan(rate_per_s=0.05, burst=16.0),  # its bucket takes minutes to be full again
     ),
 )
 
 
 def list_four_endpoints(driver: Driver) -> None:
-    """Three that are warm, and one that has just started."""
+    """Lists three warm endpoints and one that has just started."""
     warm = servers(4, started_at=NOW_MS - 3_600_000.0)[:3]
     driver.give(EndpointsListed((*warm, servers(4, started_at=NOW_MS - 4000.0)[3]), is_complete=True))
 
 
-def leaving_limiter() -> Driver:
-    """A limiter that has worked for 30 s.  It has tenants in full and as compact records, requests that wait
-    or are in flight, an unreachable endpoint and a cold one, and idempotency keys that still count."""
+def limiter_before_handover() -> Driver:
+    """Returns a limiter after 30 s of work.
+
+    It has active tenants and evicted ones with compact records, requests that are queued or in flight, an
+    unreachable endpoint and one in slow start, and idempotency keys within their windows.
+    """
     driver = Driver(HANDOVER_SETTINGS, now=NOW_MS - 30_000.0)
     list_four_endpoints(driver)
     answered_sends: set[tuple[int, int]] = set()
@@ -121,10 +124,10 @@
     def answer_all() -> None:
         nonlocal answered_calls
         while pending := [
-            s for s in enumerate(driver.sends()) if (s[0], s[1].request_id) not in answered_sends
+            sent for sent in enumerate(driver.sends()) if (sent[0], sent[1].request_id) not in answered_sends
         ]:
-            place, send = pending[0]
-            answered_sends.add((place, send.request_id))
+            index, send = pending[0]
+            answered_sends.add((index, send.request_id))
             if send.endpoint == "s2":
                 driver.end(send, Outcome.ERROR, elapsed_ms=20.0, request_finished=True)
             else:
@@ -153,48 +156,51 @@
     return driver
 
 
-def write_account() -> dict[str, Any]:
-    """What the leaving limiter leaves."""
-    driver = leaving_limiter()
+def write_handover() -> dict[str, Any]:
+    """Returns the handover of `limiter_before_handover`."""
+    driver = limiter_before_handover()
     return leave_handover(driver.limiter, driver.now)
 
 
-def read_account(account: dict[str, Any]) -> tuple[Limiter, tuple[int, int]]:
-    """The successor, which has the same endpoints, and how many entries it took and could not read."""
+def read_handover(handover: dict[str, Any]) -> tuple[Limiter, tuple[int, int]]:
+    """Returns a successor with the same endpoints, and its numbers of adopted and malformed entries."""
     successor = Driver(HANDOVER_SETTINGS, now=NOW_MS)
     list_four_endpoints(successor)
-    return successor.limiter, take_handover(successor.limiter, account, NOW_MS)
+    return successor.limiter, take_handover(successor.limiter, handover, NOW_MS)
+
 
+def rewrite_handover(limiter: Limiter) -> dict[str, Any]:
+    """Returns the handover of a limiter that has read one.
 
-def rewrite_account(limiter: Limiter) -> dict[str, Any]:
-    """The account from what was read.  `leave_handover` leaves out tenants that have not come yet."""
+    `leave_handover` omits tenants without a request since then, so they are added here.
+    """
     tenants = {name: list(record) for name, record in limiter.tenants.records.inherited.items()}
-    without_share_until = limiter.tenants.records.unknown_start_empty_until
-    account = leave_handover(limiter, NOW_MS)
-    return account | {"given_way_until": without_share_until, "customers": tenants}
+    start_empty_until = limiter.tenants.records.unknown_start_empty_until
+    handover = leave_handover(limiter, NOW_MS)
+    return handover | {"given_way_until": start_empty_until, "customers": tenants}
 
 
 def read_endpoint(limiter: Limiter, name: str) -> dict[str, float]:
-    """What a successor knows of an endpoint."""
-    server = limiter.selector.endpoints[name]
+    """Returns the state of an endpoint at a successor."""
+    endpoint = limiter.selector.endpoints[name]
     return {
-        "latency_ms": server.latency_ms,
-        "failing": server.failure_ratio,
-        "limit": server.concurrency_limit,
-        "judged_at": server.updated_at,
-        "answers": server.answer_weight,
-        "failed_connects": server.connect_failures,
-        "left_out_until": server.ejected_until,
+        "latency_ms": endpoint.latency_ms,
+        "failure_ratio": endpoint.failure_ratio,
+        "concurrency_limit": endpoint.concurrency_limit,
+        "updated_at": endpoint.updated_at,
+        "answer_weight": endpoint.answer_weight,
+        "connect_failures": endpoint.connect_failures,
+        "ejected_until": endpoint.ejected_until,
     }
 
 
 def read_tenant(limiter: Limiter, name: str) -> TenantRecord | None:
-    """What a successor is given of a tenant that comes now."""
+    """Returns the inherited record of a tenant whose first request arrives now."""
     return limiter.tenants.records.take(name, NOW_MS)
 
 
-def read_key(limiter: Limiter, tenant: str, key: str) -> tuple[float, int]:
-    """Until when an idempotency key counts, and at which listeners."""
+def read_charged_key(limiter: Limiter, tenant: str, key: str) -> tuple[float, int]:
+    """Returns the end of the window of an idempotency key, and the listeners it was charged for as bits."""
     return limiter.charged_keys.charged[tenant, key]
 
 
@@ -213,7 +219,7 @@
 
 
 def write_records() -> bytes:
-    """The columns of a table that holds `RECORDS`, one after the other."""
+    """Returns the concatenated columns of a table that holds `RECORDS`."""
     records = empty_records()
     for name, record in RECORDS.items():
         records.put(name, record, NOW_MS)
@@ -232,16 +238,16 @@
 
 
 def read_records(data: bytes) -> TenantRecords:
-    """Records whose only table has these columns."""
+    """Returns records whose only table has these columns."""
     records = empty_records()
-    records.put("overwritten", RECORDS["ada"], NOW_MS)  # makes the table
-    begins = 0
+    records.put("overwritten", RECORDS["ada"], NOW_MS)  # creates the table
+    start = 0
     for column in columns(records):
-        ends = begins + column.itemsize * len(column)
-        column[:] = type(column)(column.typecode, data[begins:ends])
-        begins = ends
-    assert begins == len(data)
-    records.tables[0].count = sum(name != 0 for name in records.tables[0].name_hashes)
+        end = start + column.itemsize * len(column)
+        column[:] = type(column)(column.typecode, data[start:end])
+        start = end
+    assert start == len(data)
+    records.tables[0].count = sum(name_hash != 0 for name_hash in records.tables[0].name_hashes)
     return records
 
 
@@ -249,89 +255,91 @@
     return b"".join(column.tobytes() for column in columns(records))
 
 
-# The agreement: messages and a voter's store
+# Consensus: messages and the store of an acceptor
 
-VOTERS = ("a", "b", "c")
+ACCEPTORS = ("a", "b", "c")
 
 
-def new_proposer(life: str, version: int, value: str, before: str) -> Proposer:
-    return Proposer(life, VOTERS, version, value, before)
+def new_proposer(incarnation: str, version: int, value: str, previous_value: str) -> Proposer:
+    return Proposer(incarnation, ACCEPTORS, version, value, previous_value)
 
 
 def new_learner() -> Learner:
-    return Learner("n0", "n0.1", VOTERS, LeaseTimes())
+    return Learner("n0", "n0.1", ACCEPTORS, LeaseTimes())
 
 
 class Exchanges:
-    """Words to voters and their answers, each as it stands on a link."""
+    """Messages to acceptors and their replies, each as JSON."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.lines: list[dict[str, Any]] = []
         self.stores: dict[str, PolicyRegister] = {}
-        self.voters = {name: self.voter(name, fresh=True) for name in VOTERS}
+        self.acceptors = {name: self.create_acceptor(name, is_new_register=True) for name in ACCEPTORS}
 
-    def voter(self, name: str, fresh: bool, now: float = 0.0) -> Acceptor:
+    def create_acceptor(self, name: str, is_new_register: bool, now: float = 0.0) -> Acceptor:
         store = self.stores[name] = PolicyRegister(self.folder / f"voter-{name}.db", name, ignore)
-        return Acceptor(name, VOTERS, store, LeaseTimes(), now, is_new_register=fresh)
+        return Acceptor(name, ACCEPTORS, store, LeaseTimes(), now, is_new_register=is_new_register)
 
     def lose_store(self, name: str, now: float) -> None:
-        """A voter starts again, and its store is gone."""
+        """Restarts an acceptor without its store."""
         self.stores[name].close()
         (self.folder / f"voter-{name}.db").unlink()
-        self.voters[name] = self.voter(name, fresh=False, now=now)
+        self.acceptors[name] = self.create_acceptor(name, is_new_register=False, now=now)
 
     def close(self) -> None:
         for store in self.stores.values():
             store.close()
 
-    def send(self, at: float, to: str, word: dict[str, Any]) -> dict[str, Any]:
-        """Carry a word to a voter; returns the answer, as it is read at the other end."""
-        sent = orjson.loads(orjson.dumps(word))
-        answer = self.voters[to].receive(sent, at)
-        self.lines.append({"at": at, "to": to, "word": sent, "answer": answer})
-        told: dict[str, Any] = orjson.loads(orjson.dumps(answer))
-        return told
+    def send(self, now: float, receiver: str, message: dict[str, Any]) -> dict[str, Any]:
+        """Sends a message to an acceptor and returns the reply, both encoded and decoded as JSON."""
+        sent = orjson.loads(orjson.dumps(message))
+        reply = self.acceptors[receiver].receive(sent, now)
+        self.lines.append({"at": now, "to": receiver, "word": sent, "answer": reply})
+        received: dict[str, Any] = orjson.loads(orjson.dumps(reply))
+        return received
 
-    def to_all(
-        self, at: float, word: dict[str, Any], names: tuple[str, ...] = VOTERS
+    def send_to_all(
+        self, now: float, message: dict[str, Any], names: tuple[str, ...] = ACCEPTORS
     ) -> list[dict[str, Any]]:
-        return [self.send(at, name, word) for name in names]
+        return [self.send(now, name, message) for name in names]
 
-    def propose(self, at: float, proposer: Proposer, names: tuple[str, ...] = VOTERS) -> None:
-        """One attempt of a proposer, to its end."""
-        words: list[dict[str, Any] | None] = [proposer.begin_attempt()]
-        while words and (word := words.pop(0)) is not None:
-            answers = [proposer.receive(answer) for answer in self.to_all(at, word, names)]
-            words += [answer for answer in answers if answer is not None]
+    def propose(self, now: float, proposer: Proposer, names: tuple[str, ...] = ACCEPTORS) -> None:
+        """Runs one attempt of a proposer to its end."""
+        messages: list[dict[str, Any] | None] = [proposer.begin_attempt()]
+        while messages and (message := messages.pop(0)) is not None:
+            proposer_replies = [proposer.receive(reply) for reply in self.send_to_all(now, message, names)]
+            messages += [reply for reply in proposer_replies if reply is not None]
 
-    def ask(self, at: float, learner: Learner) -> None:
-        """One ask of a learner for its permission, and what it gives back."""
-        for answer in self.to_all(at, learner.request_leases(at)):
-            if (back := learner.receive(answer, at)) is not None:
-                self.to_all(at, back)
+    def request_leases(self, now: float, learner: Learner) -> None:
+        """Sends one lease request of a learner, and the lease returns that result from the replies."""
+        for reply in self.send_to_all(now, learner.request_leases(now)):
+            if (lease_return := learner.receive(reply, now)) is not None:
+                self.send_to_all(now, lease_return)
 
 
 def write_exchanges(folder: Path) -> list[dict[str, Any]]:
-    """Every kind of message: two changes that meet, a learner's permissions, a voter that has lost its store.
-    The voters' stores are left in the folder."""
+    """Returns messages and replies of every kind, and leaves the acceptors' stores in the folder.
+
+    They come from two concurrent changes, the leases of a learner, and an acceptor that lost its store.
+    """
     exchanges = Exchanges(folder)
     learner = new_learner()
     exchanges.propose(0.0, new_proposer("p0", 1, '{"rate":4}', ""))
-    exchanges.ask(4000.0, learner)
+    exchanges.request_leases(4000.0, learner)
     exchanges.send(4000.0, "a", {"k": "ask", "holder": "n0", "life": "n0.1", "ask": 1, "version": 0})
     first = new_proposer("p1", 2, '{"rate":1}', '{"rate":4}')
     second = new_proposer("p2", 2, '{"rate":2}', '{"rate":4}')
-    exchanges.to_all(4100.0, first.begin_attempt(), ("a", "b"))
+    exchanges.send_to_all(4100.0, first.begin_attempt(), ("a", "b"))
     second.begin_attempt()
     exchanges.propose(4200.0, second)
     exchanges.propose(4300.0, first, ("a",))
-    exchanges.ask(4400.0, learner)
-    exchanges.ask(9000.0, learner)
+    exchanges.request_leases(4400.0, learner)
+    exchanges.request_leases(9000.0, learner)
     third = new_proposer("p3", 3, '{"rate":9}', second.decided_value)
-    for answer in exchanges.to_all(9100.0, third.begin_attempt()):
-        if (accept := third.receive(answer)) is not None:
-            exchanges.send(9100.0, "a", accept)  # one voter accepts, and nobody hears of it
+    for reply in exchanges.send_to_all(9100.0, third.begin_attempt()):
+        if (accept := third.receive(reply)) is not None:
+            exchanges.send(9100.0, "a", accept)  # one acceptor accepts, and its reply is lost
     exchanges.lose_store("c", 9200.0)
     exchanges.send(9200.0, "c", third.begin_attempt())
     for name in ("a", "b"):
@@ -341,7 +349,7 @@
 
 
 def replay_exchanges(folder: Path, lines: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """The same lines, with the answers that the present voters give to the words in them."""
+    """Sends the messages in the lines and returns the lines with the replies of the present code."""
     exchanges = Exchanges(folder)
     for line in lines:
         if line["answer"] == {"k": "lost", "voter": line["to"]} and line["word"]["k"] != "told":
@@ -351,23 +359,26 @@
     return exchanges.lines
 
 
-def read_voter(path: Path) -> Acceptor:
-    """A voter that starts with a store; it is lost where the store can't be read."""
-    return Acceptor("a", VOTERS, PolicyRegister(path, "a", ignore), LeaseTimes(), 20_000.0)
+def read_acceptor(path: Path) -> Acceptor:
+    """Starts an acceptor with a stored state; its state counts as lost if the store can't be read."""
+    return Acceptor("a", ACCEPTORS, PolicyRegister(path, "a", ignore), LeaseTimes(), 20_000.0)
 
 
-def rewrite_voter(voter: Acceptor, path: Path) -> None:
-    """Store what a voter has read in another file."""
+def rewrite_acceptor(acceptor: Acceptor, path: Path) -> None:
+    """Stores the state of an acceptor in another file."""
     store = PolicyRegister(path, "a", ignore)
-    store.save(voter.state.to_wire())
+    store.save(acceptor.state.to_wire())
     store.close()
 
 
 def stored_rows(path: Path) -> list[tuple[Any, ...]]:
-    """The tables' definitions and rows.  The file around them has the version of SQLite in it."""
-    with closing(sqlite3.connect(path)) as base:
-        tables = base.execute("SELECT type, name, sql FROM sqlite_master").fetchall()
-        rows = base.execute("SELECT one, name, form, crc, state FROM voter").fetchall()
+    """Returns the definitions of the tables and their rows.
+
+    The bytes of the file can't be compared, because they contain the version of SQLite.
+    """
+    with closing(sqlite3.connect(path)) as database:
+        tables = database.execute("SELECT type, name, sql FROM sqlite_master").fetchall()
+        rows = database.execute("SELECT one, name, form, crc, state FROM voter").fetchall()
     return [*tables, *rows]
 
 
@@ -383,14 +394,14 @@
 PEER_SETTINGS = replace(
     SETTINGS, limiter_count=3, request_classes=(SAFE, ZONE_CLASS), plans=(Plan(rate_per_s=4.0, burst=16.0),)
 )
-FRAME_BEGINS = b"*2\r\n$5\r\nPEERS\r\n"
+FRAME_PREFIX = b"*2\r\n$5\r\nPEERS\r\n"
 
 
 class PeeredLimiter:
-    """A limiter with links to its peers; the frames on them are bytes.  It is its core's ports too."""
+    """A limiter whose links carry frames as bytes. It also implements the ports of its core."""
 
     def __init__(self, name: str, nonce: int, now: float = 0.0) -> None:
-        self.now = now  # of the links; the clock of the decisions stands NOW_MS further
+        self.now = now  # the clock of the links; the clock of the core is ahead by NOW_MS
         net: Any = Net()
         addresses = {other: f"127.0.0.1:{7200 + int(other[1])}" for other in MEMBERS if other != name}
         self.replicator = Replicator(ReplicationSettings(name, MEMBERS), nonce, now, ignore)
@@ -401,7 +412,7 @@
             ignore,
             lambda peer: self.replicator.link_up(peer, self.now),
             lambda peer: self.replicator.link_down(peer, self.now),
-            self.received,
+            self.receive_frame,
         )
         self.net = net
         self.wires: dict[str, Wire] = {}
@@ -413,7 +424,7 @@
             self.core,
             self.overrides,
             self.clock,
-            self.overridden,
+            self.apply_overrides,
             ignore,
             OverrideScope.FLEET,
         )
@@ -421,7 +432,7 @@
     def clock(self) -> float:
         return NOW_MS + self.now
 
-    # Its links
+    # Links
 
     def connect(self, peer: str, hello: bytes) -> None:
         self.wires[peer] = self.net.join(peer, self.links)
@@ -430,84 +441,88 @@
     def deliver(self, peer: str, data: bytes) -> None:
         self.wires[peer].protocol.dataReceived(data)
 
-    def received(self, peer: str, message: Any) -> None:
-        for to, answer in self.replicator.receive(peer, message, self.now):
-            self.links.send(to, answer)
+    def receive_frame(self, peer: str, message: Any) -> None:
+        for receiver, reply in self.replicator.receive(peer, message, self.now):
+            self.links.send(receiver, reply)
 
-    def frames(self, peer: str) -> list[bytes]:
-        """What it has sent to a peer since this was last asked."""
+    def take_sent_frames(self, peer: str) -> list[bytes]:
+        """Returns the frames sent to a peer since the previous call."""
         wire: Any = self.wires[peer]
         sent: bytes = wire.value()
         wire.clear()
         return split_frames(sent)
 
-    def run(self, ms: float) -> None:
-        """Time passes, in the steps of a limiter."""
-        end = self.now + ms
+    def run(self, duration_ms: float) -> None:
+        """Lets time pass in ticks of 50 ms."""
+        end = self.now + duration_ms
         while self.now < end:
             self.now += 50.0
             self.core.turn()
             for peer, message in self.peering.tick(self.now, self.links.ready):
                 self.links.send(peer, message)
 
-    # What it has read
+    # State read from the frames of peers
 
     def read_log(self, name: str, number: int, nonce: int) -> tuple[int, int, dict[str, Any]]:
-        """The version and floor of a peer's log, and its live entries."""
-        log = next(c for life, c in self.replicator.replica.logs.items() if life == (name, number, nonce))
+        """Returns the version and the floor of a peer's log, and its live entries."""
+        log = next(
+            copy
+            for incarnation, copy in self.replicator.replica.logs.items()
+            if incarnation == (name, number, nonce)
+        )
         return log.version, log.floor, dict(log.live_entries())
 
-    def read_have(self, peer: str) -> tuple[bool, dict[tuple[str, int, int], tuple[int, int]]]:
-        """Whether a peer has settled, and what it holds of each life."""
+    def read_peer_states(self, peer: str) -> tuple[bool, dict[tuple[str, int, int], tuple[int, int]]]:
+        """Returns whether a peer has settled, and the state of its copy of each log."""
         link = self.replicator.links[peer]
-        return link.is_settled, {(*life,): state for life, state in link.assumed_states.items()}
+        return link.is_settled, {(*incarnation,): state for incarnation, state in link.assumed_states.items()}
 
     def read_overrides(self) -> dict[str, Override]:
         return self.overrides.by_endpoint
 
     def read_attempt(self, tenant: str, key: str) -> tuple[int, int, float] | None:
-        """Zone and cell where a key may have run, and when it was sent there."""
-        ran = self.peering.idempotency.ran(tenant, key)
-        return None if ran is None else (ran[0].zone, ran[0].cell, ran[1])
+        """Returns the zone and cell to which a request with this key was sent, and when."""
+        attempt = self.peering.idempotency.ran(tenant, key)
+        return None if attempt is None else (attempt[0].zone, attempt[0].cell, attempt[1])
 
-    def read_claims(self) -> set[str]:
-        """What peers say of endpoints."""
+    def read_endpoint_reports(self) -> set[str]:
+        """Returns the keys of the peers' current reports on endpoints."""
         return set(self.peering.endpoints.reporters)
 
     def read_accounts(self) -> dict[str, TenantRecord]:
-        """What this limiter's former lives have left of tenants."""
+        """Returns the tenant records that earlier incarnations of this limiter have left."""
         return self.core.limiter.tenants.records.inherited
 
     def read_digest(self) -> str:
-        """What is held, as the log tells it: operators compare it between limiters."""
+        """Returns the digest of the replica, which limiters log so that operators can compare replicas."""
         return self.peering.digest()
 
-    def read_life(self) -> tuple[bool, int]:
-        """Whether it has settled, and the number of its life."""
+    def read_incarnation(self) -> tuple[bool, int]:
+        """Returns whether the limiter has settled, and the number of its incarnation."""
         return self.replicator.is_settled, self.replicator.incarnation.number
 
-    # Its work
+    # Work of the core
 
     def list_endpoints(self, *names: str) -> None:
-        started = NOW_MS - 3_600_000.0
-        infos = [Endpoint(n, EndpointState.SERVING, zone=2, cell=5, started_at=started) for n in names]
-        self.core.on_endpoints(self.overrides.on_endpoints(infos, True), True)
+        started_at = NOW_MS - 3_600_000.0
+        endpoints = [Endpoint(n, EndpointState.SERVING, zone=2, cell=5, started_at=started_at) for n in names]
+        self.core.on_endpoints(self.overrides.on_endpoints(endpoints, True), True)
         self.core.turn()
 
-    def overridden(self, some: list[str]) -> None:
-        self.core.on_endpoints(self.overrides.effective_entries(some), False)
+    def apply_overrides(self, endpoints: list[str]) -> None:
+        self.core.on_endpoints(self.overrides.effective_entries(endpoints), False)
 
-    def request(self, tenant: str, outcome: Outcome, kind: int = 0, key: str = "") -> None:
-        """A request of two units, each of whose attempts ends like this."""
+    def request(self, tenant: str, outcome: Outcome, class_index: int = 0, idempotency_key: str = "") -> None:
+        """Submits a request of two units; each of its attempts ends with `outcome`."""
         caller: Any = self
         incoming = IncomingRequest(
             tenant=tenant,
             plan_index=0,
-            class_index=kind,
+            class_index=class_index,
             expires_in_ms=2000.0,
             units=2.0,
             sharing_limiters=3,
-            idempotency_key=key,
+            idempotency_key=idempotency_key,
         )
         self.core.submit(caller, None, incoming)
         self.core.turn()
@@ -515,8 +530,8 @@
             self.core.attempt_ended(self.sent_attempts.pop(), outcome)
             self.core.turn()
 
-    def on_answer(self, *told: Any) -> None:
-        """A request's answer, for nobody."""
+    def on_answer(self, *answer: Any) -> None:
+        """Ignores the answer to a request."""
 
     def send_attempt(self, request: Any, endpoint: str, timeout_ms: float) -> None:
         self.sent_attempts.append(request)
@@ -533,70 +548,73 @@
     def wake_at(self, due_at: float) -> None: ...
 
 
-def frame(message: Any) -> bytes:
-    """A peer's frame, written here by hand."""
+def encode_frame(message: Any) -> bytes:
+    """Encodes a peer's frame without the code under test."""
     data = orjson.dumps(message)
-    return FRAME_BEGINS + b"$%d\r\n%s\r\n" % (len(data), data)
+    return FRAME_PREFIX + b"$%d\r\n%s\r\n" % (len(data), data)
 
 
-def have(*lives: list[Any], ask: bool = False) -> bytes:
-    """What a settled peer says that it holds."""
-    return frame({"k": "have", "v": list(lives), "s": True, "m": False, "a": ask})
+def digest_frame(*logs: list[Any], wants_digest: bool = False) -> bytes:
+    """Encodes the digest of a settled peer."""
+    return encode_frame({"k": "have", "v": list(logs), "s": True, "m": False, "a": wants_digest})
 
 
-def news(name: str, number: int, begins: int, *entries: list[Any]) -> bytes:
-    """The next entries of a peer's life."""
-    upto = begins + len(entries)
-    versioned = [[entry[0], begins + place, entry[1]] for place, entry in enumerate(entries, 1)]
-    return frame({"k": "news", "c": [[name, number, 77, begins, upto, 0, False, versioned]]})
+def delta_frame(name: str, number: int, after: int, *entries: list[Any]) -> bytes:
+    """Encodes the next entries of an incarnation's log."""
+    up_to = after + len(entries)
+    versioned = [[entry[0], after + index, entry[1]] for index, entry in enumerate(entries, 1)]
+    return encode_frame({"k": "news", "c": [[name, number, 77, after, up_to, 0, False, versioned]]})
 
 
-ENDPOINT = "s2"  # by its name's hash n0 is the one that tries it for all
+ENDPOINT = "s2"  # by rendezvous hashing of its name, n0 is the member that probes it for all
 
 
 def write_frames() -> dict[str, bytes]:
-    """Every kind of frame and of entry: what n0 says to n1 from its start, each different frame once, and to
-    n2 that comes much later."""
+    """Returns frames that contain every kind of frame and of entry.
+
+    They are the frames that n0 sends to n1 from its start, without repetitions, and those that it sends to
+    n2, which connects much later.
+    """
     limiter = PeeredLimiter("n0", nonce=1234)
     limiter.list_endpoints(ENDPOINT)
-    limiter.connect("n1", frame({"hello": "n1", "form": 1}))
-    limiter.deliver("n1", have(["n0", 1, 77, 1, 0], ["n1", 1, 77, 2, 0], ["n2", 1, 77, 1, 0]))
+    limiter.connect("n1", encode_frame({"hello": "n1", "form": 1}))
+    limiter.deliver("n1", digest_frame(["n0", 1, 77, 1, 0], ["n1", 1, 77, 2, 0], ["n2", 1, 77, 1, 0]))
     account = [3.5, 0.25, 7.0, 12.0, 56_666, round(NOW_MS) - 900, round(NOW_MS) + 30_000]
-    limiter.deliver("n1", news("n0", 1, 0, ["u:former", account]))
-    limiter.deliver("n1", news("n1", 1, 0, ["!beat", 1.0], ["b:" + ENDPOINT, [0]]))
-    limiter.deliver("n1", news("n2", 1, 0, ["!beat", 1.0]))
-    limiter.run(1000.0)  # it settles, as its second life
+    limiter.deliver("n1", delta_frame("n0", 1, 0, ["u:former", account]))
+    limiter.deliver("n1", delta_frame("n1", 1, 0, ["!beat", 1.0], ["b:" + ENDPOINT, [0]]))
+    limiter.deliver("n1", delta_frame("n2", 1, 0, ["!beat", 1.0]))
+    limiter.run(1000.0)  # it settles as its second incarnation
     limiter.request("ada", Outcome.ERROR)
-    limiter.request("grace", Outcome.OK, kind=1, key="swap-1")
+    limiter.request("grace", Outcome.OK, class_index=1, idempotency_key="swap-1")
     limiter.request("ada", Outcome.ERROR)
     limiter.run(1100.0)
-    limiter.deliver("n1", have(["n1", 1, 77, 2, 0]))  # n2 alone is silent
+    limiter.deliver("n1", digest_frame(["n1", 1, 77, 2, 0]))  # only n2 is unresponsive
     limiter.request("ada", Outcome.OK)
     limiter.request("grace", Outcome.OK)
     limiter.run(1000.0)
     limiter.list_endpoints(ENDPOINT, "s0", "s1", "s3")
     limiter.overrides.set_by_operator("s1", True, limiter.clock())
     limiter.peering.publish_override("s1", limiter.now)
-    limiter.deliver("n1", have(ask=True))
+    limiter.deliver("n1", digest_frame(wants_digest=True))
     limiter.run(1000.0)
     limiter.list_endpoints(ENDPOINT, "s0", "s1")
     limiter.run(1000.0)
-    limiter.run(40_000.0)  # the former life is closed; what is over ends
-    to_first = limiter.frames("n1")
+    limiter.run(40_000.0)  # the earlier incarnation is closed, and expired entries are deleted
+    sent_to_n1 = limiter.take_sent_frames("n1")
     limiter.run(TOMBSTONE_MS + 30_000.0)
-    limiter.frames("n1")
-    limiter.connect("n2", frame({"hello": "n2", "form": 1}))
-    limiter.deliver("n2", have())
-    to_second = limiter.frames("n2")
-    return {"frames-to-n1": b"".join(dict.fromkeys(to_first)), "frames-to-n2": b"".join(to_second)}
+    limiter.take_sent_frames("n1")
+    limiter.connect("n2", encode_frame({"hello": "n2", "form": 1}))
+    limiter.deliver("n2", digest_frame())
+    sent_to_n2 = limiter.take_sent_frames("n2")
+    return {"frames-to-n1": b"".join(dict.fromkeys(sent_to_n1)), "frames-to-n2": b"".join(sent_to_n2)}
 
 
 def split_frames(data: bytes) -> list[bytes]:
-    """A link's bytes, frame by frame."""
-    return [FRAME_BEGINS + part for part in data.split(FRAME_BEGINS)[1:]]
+    """Splits the bytes of a link into frames."""
+    return [FRAME_PREFIX + part for part in data.split(FRAME_PREFIX)[1:]]
 
 
-def message_in(data: bytes) -> dict[str, Any]:
+def decode_frame(data: bytes) -> dict[str, Any]:
     match = re.fullmatch(rb"\*2\r\n\$5\r\nPEERS\r\n\$([0-9]+)\r\n(.*)\r\n", data)
     assert match is not None
     assert int(match[1]) == len(match[2])
@@ -604,25 +622,25 @@
     return message
 
 
-def reader(name: str, peer: str, some: list[bytes], now: float = 3000.0) -> PeeredLimiter:
-    """A limiter that has read the first frames of a link, and has one to another peer too."""
+def limiter_with_frames(name: str, peer: str, frames: list[bytes], now: float = 3000.0) -> PeeredLimiter:
+    """Returns a limiter that has received `frames` from a peer and is linked to another peer too."""
     limiter = PeeredLimiter(name, nonce=99, now=now)
     limiter.list_endpoints("s0", "s1", "s2", "s3")
     other = next(member for member in MEMBERS if member not in (name, peer))
-    limiter.connect(other, frame({"hello": other, "form": 1}))
-    limiter.connect(peer, some[0])
-    for data in some[1:]:
+    limiter.connect(other, encode_frame({"hello": other, "form": 1}))
+    limiter.connect(peer, frames[0])
+    for data in frames[1:]:
         limiter.deliver(peer, data)
         assert not limiter.wires[peer].ended
     return limiter
 
 
-# The data as files
+# The files
 
 
 def write_all(folder: Path, scratch: Path) -> None:
-    """All files of the data; `scratch` is an empty folder."""
-    files = write_handover_files(scratch / "tmp", write_account(), OVERRIDES)
+    """Writes all files to a folder; `scratch` is an empty folder."""
+    files = write_handover_files(scratch / "tmp", write_handover(), OVERRIDES)
     files["records"] = write_records()
     files |= write_frames()
     lines = write_exchanges(scratch)
@@ -639,20 +657,20 @@
 }
 
 
-def stored(name: str) -> bytes:
+def read_stored(name: str) -> bytes:
     return (DATA / name).read_bytes()
 
 
-def agreement_lines() -> list[dict[str, Any]]:
-    return [orjson.loads(line) for line in stored("agreement-words").splitlines()]
+def exchange_lines() -> list[dict[str, Any]]:
+    return [orjson.loads(line) for line in read_stored("agreement-words").splitlines()]
 
 
-def to_n1() -> list[bytes]:
-    return split_frames(stored("frames-to-n1"))
+def frames_to_n1() -> list[bytes]:
+    return split_frames(read_stored("frames-to-n1"))
 
 
-def to_n2() -> list[bytes]:
-    return split_frames(stored("frames-to-n2"))
+def frames_to_n2() -> list[bytes]:
+    return split_frames(read_stored("frames-to-n2"))
 
 
 if __name__ == "__main__":
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -179,8 +179,8 @@
 
 
 def test_full_copy_is_paced_and_resumes_after_its_link_broke() -> None:
-    # Guards the quotas: without pacing a peer closed the link at 2 MiB within a second, and the new
-    # incarnation settled alone with 78,064 of 100,000 accounts.
+    # The copied accounts keep tenants within their quotas. Without pacing a peer closed the link at 2 MiB
+    # within a second, and the new incarnation settled alone with 78,064 of 100,000 accounts.
     cluster = ReplicatorCluster(2)
     cluster.run(2500)
     for number in range(40_000):
@@ -381,7 +381,7 @@
     limiter_settings, plan = replace(CLUSTER_SETTINGS, limiter_count=count), PLAN
     cluster = Flock(limiter_settings, seed=seed, linked=linked, clients=Clients(obey=False))
     rng, arrives_at, arrivals = random.Random(seed), 3000.0, list[Arrival]()
-    cluster.counter.silent = counter == "silent"
+    cluster.counter.silent = counter == "unresponsive"
     while arrives_at < 3000 + 1000 * seconds:
         arrives_at += rng.expovariate(tenants * load * plan.rate_per_s / 2) * 1000
         tenant, units = rng.randrange(tenants), rng.choice((1.0, 2.0, 3.0))
@@ -402,11 +402,12 @@
     return forwarded / (tenants * (PLAN.burst + PLAN.rate_per_s * seconds))
 
 
-@pytest.mark.parametrize("counter", ["alive", "silent"])
+@pytest.mark.parametrize("counter", ["alive", "unresponsive"])
 @pytest.mark.parametrize("kills_per_s", [1.0, 4.0])
 def test_kills_neither_grant_quota_twice_nor_lose_much_of_it(counter: str, kills_per_s: float) -> None:
-    # Guards the quotas. With 8 limiters without links and one tenant at ten times its quota, 1.20 and 1.97 of
-    # the allowed units were forwarded while the counter did not respond, and 0.58 while it responded.
+    # Restarted limiters must not grant a quota again. With 8 limiters without links and one tenant at ten
+    # times its quota, 1.20 and 1.97 of the allowed units were forwarded while the counter did not respond,
+    # and 0.58 while it responded.
     options: dict[str, Any] = {"counter": counter, "kills_per_s": kills_per_s, "seconds": 20.0}
     linked_ratio = forwarded_ratio(run_limiters(8, **options), 20.0)
     unlinked_ratio = forwarded_ratio(run_limiters(8, **options, linked=False), 20.0)
@@ -418,7 +419,7 @@
 
 
 def test_restarted_limiter_grants_no_quota_until_it_has_settled() -> None:
-    cluster = run_limiters(8, counter="silent", seconds=5.0)
+    cluster = run_limiters(8, counter="unresponsive", seconds=5.0)
     cluster.kill(3, 100.0)
     cluster.cut({cluster.names[3]}, set(cluster.names))
     cluster.run(cluster.now + 1000)
@@ -615,7 +616,7 @@
 
 
 def test_resumed_incarnation_is_closed_by_its_successor_and_grants_no_quota() -> None:
-    cluster = run_limiters(3, seconds=5.0, counter="silent")
+    cluster = run_limiters(3, seconds=5.0, counter="unresponsive")
     old: Any = cluster.limiters[1]
     cluster.stall(1, 5000.0)
     cluster.part(old.name)
@@ -645,7 +646,7 @@
 
 
 def test_forged_account_of_an_earlier_incarnation_grants_at_most_a_burst() -> None:
-    cluster = run_limiters(3, seconds=0.1, counter="silent")
+    cluster = run_limiters(3, seconds=0.1, counter="unresponsive")
     old: Any = cluster.limiters[1]
     old.peering.replicator.write(
         f"u:{7:016x}", [1e8, 0.0, 1e8, 0.0, -1, START_MS, START_MS + 1e7], cluster.now
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -1,7 +1,7 @@
-"""Files and frames that commit b1c877a wrote (`tests/data/b1c877a`) are read and written back byte for byte.
+"""Checks that the files and frames written by commit b1c877a are read and written back byte for byte.
 
-A limiter of one version takes over from one of another, and the two talk to each other as peers: what is
-stored and sent keeps its bytes, whatever the code calls its parts.
+They are in `tests/data/b1c877a`. A limiter takes over from a predecessor of another version, and limiters of
+different versions are peers, so the stored and sent bytes must not change when names in the code change.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
     DATA,
     NOW_MS,
     RECORDS,
-    agreement_lines,
-    frame,
-    have,
-    message_in,
+    decode_frame,
+    digest_frame,
+    encode_frame,
+    exchange_lines,
+    frames_to_n1,
+    frames_to_n2,
+    limiter_with_frames,
     new_learner,
     new_proposer,
-    read_account,
+    read_acceptor,
+    read_charged_key,
     read_endpoint,
-    read_key,
+    read_handover,
     read_records,
+    read_stored,
     read_tenant,
-    read_voter,
-    reader,
     replay_exchanges,
-    rewrite_account,
+    rewrite_acceptor,
+    rewrite_handover,
     rewrite_records,
-    rewrite_voter,
     running_predecessor,
     start_incarnation,
-    stored,
     stored_rows,
-    to_n1,
-    to_n2,
     write_all,
     write_handover_files,
 )
@@ -51,11 +51,11 @@
     "allowed": 0.0,
 }  # fmt: skip
 UNREACHABLE = {
-    "latency_ms": 263.8962690993025, "failing": 0.2, "limit": 2.487107259335263,
-    "judged_at": 1_700_000_000_000.0, "answers": 24.14492862838469, "failed_connects": 1,
-    "left_out_until": 1_700_000_000_500.0,
+    "latency_ms": 263.8962690993025, "failure_ratio": 0.2, "concurrency_limit": 2.487107259335263,
+    "updated_at": 1_700_000_000_000.0, "answer_weight": 24.14492862838469, "connect_failures": 1,
+    "ejected_until": 1_700_000_000_500.0,
 }  # fmt: skip
-# balance, unreported, store, total, window, at, full_at, out, out_until
+# The fields of `TenantRecord` in their order.
 GRACE = (
     -4.335, 0.14, -1.7400000000000002, 2.4000000000000004, 56_666_666, 1_700_000_000_000.0,
     1_700_000_004_393.1155, 2, 1_700_000_000_159.6704,
@@ -68,7 +68,7 @@
 
 @pytest.fixture(scope="module")
 def written(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The data as the present code writes it, from the same input."""
+    """Returns a folder with the files that the present code writes from the same input."""
     folder = tmp_path_factory.mktemp("written")
     write_all(folder, tmp_path_factory.mktemp("scratch"))
     return folder
@@ -85,10 +85,10 @@
     if name == "voter-a.db":
         assert stored_rows(written / name) == stored_rows(DATA / name)
     else:
-        assert (written / name).read_bytes() == stored(name)
+        assert (written / name).read_bytes() == read_stored(name)
 
 
-def test_no_stored_file_is_left_out(written: Path) -> None:
+def test_every_stored_file_is_written(written: Path) -> None:
     names = {path.name for path in DATA.iterdir()}
     assert names == {path.name for path in written.iterdir()} | {"README.md"}
 
@@ -98,25 +98,25 @@
     (tmp_path / "read").mkdir()
     with running_predecessor(tmp_path / "read", names) as successor:
         assert (successor.number, successor.predecessor) == (4, 3)
-        account = successor.read_handover()
+        handover = successor.read_handover()
         overrides = dict(successor.read_overrides())
     assert overrides == {
         "s0": (1_699_999_995_000.0, True),
         "s1": (1_699_999_999_999.5, False),
         "zoë": (1_700_000_000_000.0, True),
     }
-    assert account is not None
-    assert account.pop("form") == 1
-    rewritten = write_handover_files(tmp_path / "rewritten", account, overrides)
-    assert rewritten == {name: stored(name) for name in names}
+    assert handover is not None
+    assert handover.pop("form") == 1
+    rewritten = write_handover_files(tmp_path / "rewritten", handover, overrides)
+    assert rewritten == {name: read_stored(name) for name in names}
 
 
-def test_nothing_is_read_before_the_predecessor_has_left(tmp_path: Path) -> None:
+def test_no_handover_is_read_while_the_predecessor_runs(tmp_path: Path) -> None:
     with running_predecessor(tmp_path, ("life-3", "ready-3", "bans-3")) as successor:
         assert (successor.predecessor, successor.read_handover()) == (3, None)
 
 
-def test_an_incarnation_is_relieved_by_a_later_one_that_is_ready(tmp_path: Path) -> None:
+def test_later_incarnation_is_a_successor_only_when_it_is_ready(tmp_path: Path) -> None:
     earlier = start_incarnation(tmp_path)
     shared = tmp_path / "scalelb"
     shutil.copy(DATA / "life-3", shared / "life-3")
@@ -128,25 +128,25 @@
     os.close(earlier.lock_descriptor)
 
 
-def test_handover_account_is_taken_over_and_written_back() -> None:
-    account = orjson.loads(stored("left-3"))
-    del account["form"]
-    limiter, (taken, faulty) = read_account(account)
-    assert (taken, faulty) == (1 + 5 + 4 + 8, 0)  # figures, tenants, endpoints, idempotency keys
-    rewritten = rewrite_account(limiter)
-    assert orjson.dumps({"form": 1, **rewritten}) == stored("left-3")
-    # Literal values: a field that changes places with another one would be written back as it was read.
+def test_handover_is_taken_over_and_written_back() -> None:
+    handover = orjson.loads(read_stored("left-3"))
+    del handover["form"]
+    limiter, (taken, malformed) = read_handover(handover)
+    assert (taken, malformed) == (1 + 5 + 4 + 8, 0)  # figures, tenants, endpoints, idempotency keys
+    rewritten = rewrite_handover(limiter)
+    assert orjson.dumps({"form": 1, **rewritten}) == read_stored("left-3")
+    # Literal values, because two swapped fields would be written back as they were read.
     assert rewritten["given_way_until"] == 1_700_000_320_000.0
     assert rewritten["figures"] == FIGURES
     assert read_tenant(limiter, "grace") == GRACE
     assert read_tenant(limiter, "shared") == SHARED
     assert read_endpoint(limiter, "s0") == UNREACHABLE
-    assert read_key(limiter, "grace", "swap-10") == (1_700_000_000_590.0, 1)
+    assert read_charged_key(limiter, "grace", "swap-10") == (1_700_000_000_590.0, 1)
 
 
 def test_compact_records_are_read_and_written_back() -> None:
-    data = stored("records")
-    assert len(data) == 36 * (4 + 8)  # the table's places, and those behind the last
+    data = read_stored("records")
+    assert len(data) == 36 * (4 + 8)  # the slots of the table, and those after the last one
     records = read_records(data)
     assert rewrite_records(records) == data
     assert records.count == 3
@@ -156,9 +156,9 @@
     assert records.count == 0
 
 
-def test_agreement_words_are_read_and_answered_with_the_stored_bytes(tmp_path: Path) -> None:
-    lines = replay_exchanges(tmp_path, agreement_lines())
-    assert b"".join(orjson.dumps(line) + b"\n" for line in lines) == stored("agreement-words")
+def test_stored_consensus_messages_get_the_stored_replies(tmp_path: Path) -> None:
+    lines = replay_exchanges(tmp_path, exchange_lines())
+    assert b"".join(orjson.dumps(line) + b"\n" for line in lines) == read_stored("agreement-words")
 
 
 @pytest.mark.parametrize(
@@ -168,138 +168,140 @@
         "permit", "wait", "stale", "lost",
     ],
 )  # fmt: skip
-def test_each_kind_of_agreement_word_is_stored(kind: str) -> None:
-    assert kind in {line[side]["k"] for line in agreement_lines() for side in ("word", "answer")}
+def test_each_kind_of_consensus_message_is_stored(kind: str) -> None:
+    assert kind in {line[side]["k"] for line in exchange_lines() for side in ("word", "answer")}
 
 
-def test_a_proposer_reads_stored_promises_and_goes_on_as_stored() -> None:
-    lines = agreement_lines()
+def test_proposer_reads_stored_promises_and_sends_the_stored_messages() -> None:
+    lines = exchange_lines()
     proposer = new_proposer("p0", 1, '{"rate":4}', "")
     assert proposer.begin_attempt() == lines[0]["word"]
     assert proposer.receive(lines[0]["answer"]) is None
     accept = proposer.receive(lines[1]["answer"])
     assert orjson.dumps(accept) == orjson.dumps(lines[3]["word"])
     assert proposer.receive(lines[3]["answer"]) is None
-    agreed = proposer.receive(lines[4]["answer"])
-    assert orjson.dumps(agreed) == orjson.dumps(lines[6]["word"])
+    decided = proposer.receive(lines[4]["answer"])
+    assert orjson.dumps(decided) == orjson.dumps(lines[6]["word"])
 
 
-def test_a_learner_reads_stored_permissions() -> None:
-    asks = [line for line in agreement_lines() if line["word"]["k"] == "ask"]
+def test_learner_reads_stored_leases() -> None:
+    requests = [line for line in exchange_lines() if line["word"]["k"] == "ask"]
     learner = new_learner()
-    assert learner.request_leases(4000.0) == asks[0]["word"]
+    assert learner.request_leases(4000.0) == requests[0]["word"]
     assert learner.permitted_version(4000.0) == 0
-    for line in asks[:2]:
+    for line in requests[:2]:
         assert learner.receive(line["answer"], 4000.0) is None
     assert (learner.permitted_version(4000.0), learner.value) == (1, '{"rate":4}')
     learner.request_leases(4400.0)
-    back = learner.receive(asks[4]["answer"], 4400.0)
-    assert back == {"k": "back", "holder": "n0", "life": "n0.1", "ask": 2}
+    lease_return = learner.receive(requests[4]["answer"], 4400.0)
+    assert lease_return == {"k": "back", "holder": "n0", "life": "n0.1", "ask": 2}
     assert (learner.permitted_version(4400.0), learner.next_version) == (0, 2)
 
 
-def test_a_voters_store_is_read_and_written_back(tmp_path: Path) -> None:
+def test_store_of_an_acceptor_is_read_and_written_back(tmp_path: Path) -> None:
     shutil.copy(DATA / "voter-a.db", tmp_path / "voter-a.db")
-    voter = read_voter(tmp_path / "voter-a.db")
-    assert not voter.has_lost_state
-    state = voter.state
+    acceptor = read_acceptor(tmp_path / "voter-a.db")
+    assert not acceptor.has_lost_state
+    state = acceptor.state
     assert (state.decided_version, state.decided_value, state.leased_version) == (2, '{"rate":2}', 2)
     assert (state.promised_ballot, state.accepted_ballot, state.accepted_value) == (
         (1, "p3"),
         (1, "p3"),
         '{"rate":9}',
     )
-    rewrite_voter(voter, tmp_path / "rewritten.db")
+    rewrite_acceptor(acceptor, tmp_path / "rewritten.db")
     assert stored_rows(tmp_path / "rewritten.db") == stored_rows(DATA / "voter-a.db")
-    kept = b'{"version":2,"value":"{\\"rate\\":2}","promised":[1,"p3"],"accepted":[1,"p3"],'
-    kept += b'"proposed":"{\\"rate\\":9}","permitted":2}'
-    assert stored_rows(DATA / "voter-a.db")[-1] == (1, "a", 1, 1_254_240_689, kept)
+    stored_state = b'{"version":2,"value":"{\\"rate\\":2}","promised":[1,"p3"],"accepted":[1,"p3"],'
+    stored_state += b'"proposed":"{\\"rate\\":9}","permitted":2}'
+    assert stored_rows(DATA / "voter-a.db")[-1] == (1, "a", 1, 1_254_240_689, stored_state)
 
 
 # Frames
 
 
-def place_of(entry: str, ended: bool = False) -> int:
-    """The place of the last frame to n1 that has this entry, or its end."""
-    places = [
-        place
-        for place, data in enumerate(to_n1())
-        for item in message_in(data).get("c", [])
-        if any(key == entry and (value is None) is ended for key, _, value in item[7])
+def index_of_frame(entry: str, is_deletion: bool = False) -> int:
+    """Returns the index of the last frame to n1 that contains this entry, or its deletion."""
+    indexes = [
+        index
+        for index, data in enumerate(frames_to_n1())
+        for item in decode_frame(data).get("c", [])
+        if any(key == entry and (value is None) is is_deletion for key, _, value in item[7])
     ]
-    return places[-1]
+    return indexes[-1]
 
 
 @pytest.mark.parametrize(
-    "place", [n for n, data in enumerate(to_n1()) if message_in(data).get("k") == "news"]
+    "index", [n for n, data in enumerate(frames_to_n1()) if decode_frame(data).get("k") == "news"]
 )
-def test_a_news_frame_is_read_and_passed_on_with_the_same_bytes(place: int) -> None:
-    limiter = reader("n1", "n0", to_n1()[:place])
-    limiter.deliver("n2", have())  # it lacks all that is here
-    limiter.frames("n2")
-    limiter.deliver("n0", to_n1()[place])
-    limiter.deliver("n2", have())
-    assert limiter.frames("n2") == [to_n1()[place]]
-
-
-def test_a_full_copy_is_read_and_passed_on_with_the_same_bytes() -> None:
-    limiter = reader("n2", "n0", to_n2())
-    limiter.frames("n1")
-    limiter.deliver("n1", have())
-    assert limiter.frames("n1") == to_n2()[1:]
+def test_delta_frame_is_read_and_forwarded_with_the_same_bytes(index: int) -> None:
+    limiter = limiter_with_frames("n1", "n0", frames_to_n1()[:index])
+    limiter.deliver("n2", digest_frame())  # n2 lacks all entries
+    limiter.take_sent_frames("n2")
+    limiter.deliver("n0", frames_to_n1()[index])
+    limiter.deliver("n2", digest_frame())
+    assert limiter.take_sent_frames("n2") == [frames_to_n1()[index]]
+
+
+def test_full_copy_is_read_and_forwarded_with_the_same_bytes() -> None:
+    limiter = limiter_with_frames("n2", "n0", frames_to_n2())
+    limiter.take_sent_frames("n1")
+    limiter.deliver("n1", digest_frame())
+    assert limiter.take_sent_frames("n1") == frames_to_n2()[1:]
     entries = {"!beat": 350.0, "x:s1": [1_700_000_003_100.0, True], "!closed": 2}
     assert limiter.read_log("n0", 2, 1234) == (23, 23, entries)
 
 
 @pytest.mark.parametrize(
-    "place", [n for n, data in enumerate(to_n1()) if message_in(data).get("k") == "have"]
+    "index", [n for n, data in enumerate(frames_to_n1()) if decode_frame(data).get("k") == "have"]
 )
-def test_a_have_frame_is_read(place: int) -> None:
-    limiter = reader("n1", "n0", to_n1()[:place])
-    limiter.deliver("n0", to_n1()[place])
-    message = message_in(to_n1()[place])
-    settled, held = limiter.read_have("n0")
-    assert settled is message["s"]
+def test_digest_frame_is_read(index: int) -> None:
+    limiter = limiter_with_frames("n1", "n0", frames_to_n1()[:index])
+    limiter.deliver("n0", frames_to_n1()[index])
+    message = decode_frame(frames_to_n1()[index])
+    is_settled, states = limiter.read_peer_states("n0")
+    assert is_settled is message["s"]
     for name, number, nonce, version, floor in message["v"]:
-        assert held[name, number, nonce] == (version, floor)
+        assert states[name, number, nonce] == (version, floor)
 
 
 def test_each_kind_of_frame_and_entry_is_stored() -> None:
-    messages = [message_in(data) for data in to_n1() + to_n2()]
+    messages = [decode_frame(data) for data in frames_to_n1() + frames_to_n2()]
     assert {"hello": "n0", "form": 1} in messages
     flags = {(m["s"], m["a"]) for m in messages if m.get("k") == "have"}
     assert flags == {(False, True), (True, True), (True, False)}
     items = [item for m in messages if m.get("k") == "news" for item in m["c"]]
-    assert {item[6] for item in items} == {False, True}  # parts of a chain, and one whole
+    assert {item[6] for item in items} == {False, True}  # parts of a log, and a full copy
     entries = [entry for item in items for entry in item[7]]
-    told = {re.split("(?<=:)", key)[0] for key, _, value in entries if value is not None}
-    assert told == {"!beat", "!closed", "down:", "u:", "x:", "b:", "t:", "g:", "k:"}
-    ended = {re.split("(?<=:)", key)[0] for key, _, value in entries if value is None}
-    assert ended == {"down:", "u:", "b:", "t:", "k:"}
+    written_prefixes = {re.split("(?<=:)", key)[0] for key, _, value in entries if value is not None}
+    assert written_prefixes == {"!beat", "!closed", "down:", "u:", "x:", "b:", "t:", "g:", "k:"}
+    deleted_prefixes = {re.split("(?<=:)", key)[0] for key, _, value in entries if value is None}
+    assert deleted_prefixes == {"down:", "u:", "b:", "t:", "k:"}
 
 
-def test_a_peer_heeds_the_stored_entries() -> None:
-    place = place_of("x:s1")
-    limiter = reader("n1", "n0", to_n1()[: place + 1])
+def test_peer_applies_the_stored_entries() -> None:
+    index = index_of_frame("x:s1")
+    limiter = limiter_with_frames("n1", "n0", frames_to_n1()[: index + 1])
     assert limiter.read_overrides() == {"s1": (1_700_000_003_100.0, True)}
     assert limiter.read_attempt("grace", "swap-1") == (2, 5, 1_700_000_001_000.0)
-    assert limiter.read_claims() == {"t:s2"}
-    for data in to_n1()[place + 1 :]:
+    assert limiter.read_endpoint_reports() == {"t:s2"}
+    for data in frames_to_n1()[index + 1 :]:
         limiter.deliver("n0", data)
     assert limiter.read_attempt("grace", "swap-1") is None
-    assert limiter.read_claims() == {"g:s3"}
+    assert limiter.read_endpoint_reports() == {"g:s3"}
 
 
-def test_the_next_incarnation_goes_on_from_the_stored_entries() -> None:
-    # A peer gives n0 its own entries back: the frames are those that it was sent.
-    place = place_of("b:s2", ended=True)
-    frames = [frame({"hello": "n1", "form": 1}), *to_n1()[1 : place + 1]]
-    limiter = reader("n0", "n1", [data for data in frames if message_in(data).get("k") != "have"], now=2200.0)
-    limiter.deliver("n1", have(["n0", 2, 1234, 10, 0]))
+def test_next_incarnation_continues_from_the_stored_entries() -> None:
+    # A peer sends n0 its own entries back, in the same frames that it received.
+    index = index_of_frame("b:s2", is_deletion=True)
+    frames = [encode_frame({"hello": "n1", "form": 1}), *frames_to_n1()[1 : index + 1]]
+    limiter = limiter_with_frames(
+        "n0", "n1", [data for data in frames if decode_frame(data).get("k") != "have"], now=2200.0
+    )
+    limiter.deliver("n1", digest_frame(["n0", 2, 1234, 10, 0]))
     limiter.run(500.0)
-    assert limiter.read_life() == (True, 3)
+    assert limiter.read_incarnation() == (True, 3)
     accounts = limiter.read_accounts()
-    # balance, unreported, store, total, window, at, full_at
+    # The first seven fields of `TenantRecord`.
     assert accounts["ada"][:7] == (
         2.667, 0.0, 3.933, 2.0, 56_666_666, 1_700_000_002_150.0, 1_700_000_003_167.0,
     )  # fmt: skip
@@ -308,8 +310,8 @@
     )  # fmt: skip
 
 
-def test_limiters_of_all_versions_log_the_same_digest_of_what_they_hold() -> None:
-    # It hashes the text of a tuple with its class's and fields' names: a renamed class would change it, and
-    # equal limiters of two versions would look unequal.
-    assert reader("n1", "n0", to_n1()).read_digest() == "ff7262d3"
-    assert reader("n2", "n0", to_n2()).read_digest() == "5287720e"
+def test_limiters_of_all_versions_log_the_same_digest() -> None:
+    # The hashed text contains the names of a class and of its fields. If they changed with the code, limiters
+    # of two versions that hold the same logs would log different digests.
+    assert limiter_with_frames("n1", "n0", frames_to_n1()).read_digest() == "ff7262d3"
+    assert limiter_with_frames("n2", "n0", frames_to_n2()).read_digest() == "5287720e"
