--- a/scalelb/replication/gossip.py
+++ b/scalelb/replication/gossip.py
@@ -63,7 +63,7 @@
     is_settled: bool = False  # whether the peer has settled
     initial_versions: dict[Incarnation, int] | None = None  # versions in the peer's first digest
     has_more_initial: bool = False  # further frames of the first digest are expected
-    window_began_at: float = 0.0  # start of the window that `window_bytes` counts
+    window_started_at: float = 0.0  # start of the window that `window_bytes` counts
     window_bytes: int = 0  # approximate size of the entries received in the window
 
     @property
@@ -84,8 +84,8 @@
 
     def count_entries(self, count: int, now: float) -> None:
         """Counts received entries towards the pacing window."""
-        if now - self.window_began_at >= PACING_WINDOW_MS:
-            self.window_began_at = now
+        if now - self.window_started_at >= PACING_WINDOW_MS:
+            self.window_started_at = now
             self.window_bytes = 0
         self.window_bytes += count * MEAN_ENTRY_BYTES
 
