--- a/scalelb/policy/counter_lease.py
+++ b/scalelb/policy/counter_lease.py
@@ -61,7 +61,7 @@
             return None
         wanted = 0.0 if is_covered else self._wanted_units(tenant)
         if bucket.counter_window >= 0:
-            obtainable = min(bucket.capacity(), bucket.counter_balance_then(now))
+            obtainable = min(bucket.capacity(), bucket.projected_counter_balance(now))
             obtainable += bucket.plan.rate_per_s * self.max_wait_ms / 1000
             wanted = max(0.0, min(wanted, obtainable))
             smallest = bucket.mean_units
--- a/scalelb/policy/handover.py
+++ b/scalelb/policy/handover.py
@@ -91,14 +91,14 @@
 )
 
 
-class TakenOver(NamedTuple):
+class HandoverResult(NamedTuple):
     """What came of a handover: entries that were taken over, and entries that could not be read."""
 
-    taken: int
+    applied: int
     malformed: int
 
 
-def leave_handover(limiter: Limiter, now: float) -> dict[str, Any]:
+def export_handover(limiter: Limiter, now: float) -> dict[str, Any]:
     """Return the handover at `now` (ms); what it says is given away."""
     records = limiter.tenants.records
     tenants = {
@@ -174,11 +174,11 @@
     return record._replace(in_flight=in_flight, in_flight_until=ended_at)
 
 
-def take_handover(limiter: Limiter, handover: dict[str, Any], now: float) -> TakenOver:
+def apply_handover(limiter: Limiter, handover: dict[str, Any], now: float) -> HandoverResult:
     """Go on where the incarnation before has ended.  A tenant that is known here by now has its own balance
     already, and an endpoint that was restarted since is left as it is."""
     if not Range(now - MAX_AGE_MS, now + MAX_CLOCK_SKEW_MS).contains(handover.get("at")):
-        return TakenOver(0, 1)
+        return HandoverResult(0, 1)
     given_way_until: Any = handover.get("given_way_until")
     parts = [_take_figures(limiter, handover.get("figures"), now)]
     if Range(now, now + MAX_REFILL_MS).contains(given_way_until):
@@ -186,22 +186,22 @@
     parts.append(_take_tenants(limiter, handover.get("customers"), now))
     parts.append(_take_endpoints(limiter, handover.get("servers"), now))
     parts.append(_take_keys(limiter, handover.get("keys"), now))
-    return TakenOver(sum(part.taken for part in parts), sum(part.malformed for part in parts))
+    return HandoverResult(sum(part.applied for part in parts), sum(part.malformed for part in parts))
 
 
-def _take_figures(limiter: Limiter, figures: Any, now: float) -> TakenOver:
+def _take_figures(limiter: Limiter, figures: Any, now: float) -> HandoverResult:
     if not isinstance(figures, dict):
-        return TakenOver(0, 1)
+        return HandoverResult(0, 1)
     if not all(figure.range.contains(figures.get(figure.key)) for figure in FIGURES):
-        return TakenOver(0, 1)
+        return HandoverResult(0, 1)
     for figure in FIGURES:
         figure.write(limiter, float(figures[figure.key]))
     limiter.selector.slow_start.measured_at = now
     limiter.selector.slow_start.allowed_at = now
-    return TakenOver(1, 0)
+    return HandoverResult(1, 0)
 
 
-def _take_tenants(limiter: Limiter, entries: Any, now: float) -> TakenOver:
+def _take_tenants(limiter: Limiter, entries: Any, now: float) -> HandoverResult:
     taken = malformed = 0
     for name, entry in list(entries.items())[:MAX_TENANTS] if isinstance(entries, dict) else []:
         record = _read_record(entry, now)
@@ -210,10 +210,10 @@
         elif name not in limiter.tenants.tenants:
             limiter.tenants.records.inherited[name] = record
             taken += 1
-    return TakenOver(taken, malformed)
+    return HandoverResult(taken, malformed)
 
 
-def _take_endpoints(limiter: Limiter, entries: Any, now: float) -> TakenOver:
+def _take_endpoints(limiter: Limiter, entries: Any, now: float) -> HandoverResult:
     taken = malformed = 0
     for name, entry in list(entries.items())[:MAX_ENDPOINTS] if isinstance(entries, dict) else []:
         if not _are_within(entry, ENDPOINT_RANGES):
@@ -223,7 +223,7 @@
         if tracked is not None and tracked.endpoint.started_at <= entry[0]:
             _take_endpoint(tracked, entry, now)
             taken += 1
-    return TakenOver(taken, malformed)
+    return HandoverResult(taken, malformed)
 
 
 def _take_endpoint(tracked: TrackedEndpoint, entry: list[float], now: float) -> None:
@@ -237,7 +237,7 @@
     tracked.ejected_until = min(float(ejected_until), now + MAX_EJECTION_MS)
 
 
-def _take_keys(limiter: Limiter, entries: Any, now: float) -> TakenOver:
+def _take_keys(limiter: Limiter, entries: Any, now: float) -> HandoverResult:
     taken = malformed = 0
     for entry in entries[:MAX_KEYS] if isinstance(entries, list) else []:
         match entry:
@@ -249,7 +249,7 @@
                 taken += 1
             case _:
                 malformed += 1
-    return TakenOver(taken, malformed)
+    return HandoverResult(taken, malformed)
 
 
 def _read_record(entry: Any, now: float) -> TenantRecord | None:
--- a/scalelb/policy/token_bucket.py
+++ b/scalelb/policy/token_bucket.py
@@ -110,7 +110,7 @@
 
     # What the counter's last answer tells
 
-    def counter_balance_then(self, at: float) -> float:
+    def projected_counter_balance(self, at: float) -> float:
         """Return the units in the bucket at `at`, by the counter's last answer and without a bound."""
         elapsed_ms = max(0.0, at - self.counter_balance_at)
         return self.counter_balance + self.plan.rate_per_s * elapsed_ms / 1000
@@ -119,7 +119,7 @@
         """Return what the counter's last answer leaves for all limiters; 0 before the first."""
         if self.counter_window < 0:
             return 0.0
-        return max(0.0, min(self.capacity(), self.counter_balance_then(now)))
+        return max(0.0, min(self.capacity(), self.projected_counter_balance(now)))
 
     def available_here(self, now: float, is_counter_available: bool) -> float:
         """Return this limiter's part of it; 0 while the counter is unavailable."""
@@ -129,7 +129,7 @@
 
     def obtainable_until(self, at: float) -> float:
         """Return the most units that a shared bucket can have for this limiter until `at`."""
-        return self.on_hand() + min(self.plan.burst, self.counter_balance_then(at))
+        return self.on_hand() + min(self.plan.burst, self.projected_counter_balance(at))
 
     def obtainable_without_counter(self, now: float, at: float) -> float:
         """Return the same while the counter is unavailable: this limiter's share of the rate is all."""
@@ -151,7 +151,7 @@
         units_here = max(self_credited, self.units_since_reply)
         spread = min(used_by_others, units_here * (self.sharing_limiters - 1))
         self.units_since_reply = 0.0
-        refilled = self.counter_balance_then(at) - self_credited - spread
+        refilled = self.projected_counter_balance(at) - self_credited - spread
         recent = used_by_others - spread
         full = min(self.capacity(), refilled)
         return min(refilled - recent, max(full - recent, min(0.0, full)))
@@ -161,7 +161,7 @@
         bucket held by the last answer."""
         if window == self.counter_window:
             return
-        self.counter_balance = min(self.capacity(), self.counter_balance_then(began_at))
+        self.counter_balance = min(self.capacity(), self.projected_counter_balance(began_at))
         self.counter_window = window
         self.counter_total = 0.0
         self.counter_balance_at = began_at
@@ -179,7 +179,7 @@
         """
         plan = self.plan
         capacity = self.capacity()
-        left = min(capacity, self.counter_balance_then(now)) - max(0.0, self.unreported)
+        left = min(capacity, self.projected_counter_balance(now)) - max(0.0, self.unreported)
         on_hand_everywhere = self.on_hand() * self.sharing_limiters
         known = left if self.is_kept_on_counter and is_counter_available else min(left, on_hand_everywhere)
         missing = capacity - known
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -16,7 +16,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import LogEvent, LogLevel, formatEvent, globalLogBeginner
 
-from scalelb.policy.handover import leave_handover, take_handover
+from scalelb.policy.handover import apply_handover, export_handover
 from scalelb.program.config import Config, ConfigError, compare, read_config
 from scalelb.program.log import Bounded, log
 from scalelb.program.loop import Loop, unix_clock
@@ -167,7 +167,7 @@
             return
         now = self.loop.clock()
         limiter = self.loop.core.limiter
-        taken, faulty = take_handover(limiter, account, now) if account else (0, 0)
+        taken, faulty = apply_handover(limiter, account, now) if account else (0, 0)
         if account is None and predecessor_runs:
             # Nobody gets a fresh share of its quota beside the one that the predecessor still grants.
             limiter.tenants.records.unknown_start_empty_until = now + 1000 * OVERLAP_S
@@ -197,7 +197,7 @@
         """A successor serves: take nothing new, leave it what is on hand, finish the rest."""
         assert self.incarnation is not None
         self.loop.core.turn()
-        account = leave_handover(self.loop.core.limiter, self.loop.clock())
+        account = export_handover(self.loop.core.limiter, self.loop.clock())
         self.incarnation.hand_over(account)
         if self.links is not None:
             self.links.stop()  # the successor binds its address
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -21,7 +21,7 @@
 
 from scalelb.core.endpoint_overrides import EndpointOverrides, Override
 from scalelb.core.lifecycle import Core
-from scalelb.policy.handover import leave_handover
+from scalelb.policy.handover import export_handover
 from scalelb.program.account_replication import (
     ACCOUNT_PREFIX,
     EARLIER_INCARNATIONS_MS,
@@ -150,7 +150,7 @@
     def on_closed(self) -> None:
         """A newer incarnation of this name is at work: the balances are its own, and nothing more is
         granted."""
-        leave_handover(self.core.limiter, self.clock())
+        export_handover(self.core.limiter, self.clock())
 
     def on_entry(self, incarnation: Incarnation, key: str, value: Any) -> None:
         """An entry is new here, or was deleted (None)."""
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -30,7 +30,7 @@
 from scalelb.core.lifecycle import Core
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import CounterReplied, EndpointsListed, Outcome
-from scalelb.policy.handover import leave_handover, take_handover
+from scalelb.policy.handover import apply_handover, export_handover
 from scalelb.policy.limiter import Limiter
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan
 from scalelb.program.peering import OverrideScope, Peering
@@ -156,21 +156,21 @@
 def write_account() -> dict[str, Any]:
     """What the leaving limiter leaves."""
     driver = leaving_limiter()
-    return leave_handover(driver.limiter, driver.now)
+    return export_handover(driver.limiter, driver.now)
 
 
 def read_account(account: dict[str, Any]) -> tuple[Limiter, tuple[int, int]]:
     """The successor, which has the same endpoints, and how many entries it took and could not read."""
     successor = Driver(HANDOVER_SETTINGS, now=NOW_MS)
     list_four_endpoints(successor)
-    return successor.limiter, take_handover(successor.limiter, account, NOW_MS)
+    return successor.limiter, apply_handover(successor.limiter, account, NOW_MS)
 
 
 def rewrite_account(limiter: Limiter) -> dict[str, Any]:
-    """The account from what was read.  `leave_handover` leaves out tenants that have not come yet."""
+    """The account from what was read.  `export_handover` leaves out tenants that have not come yet."""
     tenants = {name: list(record) for name, record in limiter.tenants.records.inherited.items()}
     without_share_until = limiter.tenants.records.unknown_start_empty_until
-    account = leave_handover(limiter, NOW_MS)
+    account = export_handover(limiter, NOW_MS)
     return account | {"given_way_until": without_share_until, "customers": tenants}
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -186,7 +186,7 @@
     monkeypatch.setattr(
         TokenBucket,
         "leased_balance_at_answer",
-        lambda bucket, at, others, blind: bucket.counter_balance_then(at) - others - blind,
+        lambda bucket, at, others, blind: bucket.projected_counter_balance(at) - others - blind,
     )
     schedule = quiet(read_schedule(FAULTS / "kill.toml"))
     found, owed = beyond(Virtual(schedule, 3, 3, 5000.0), schedule)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -16,7 +16,7 @@
 from scalelb.admission_queue.tenant_records import TenantRecord
 from scalelb.core.endpoint_overrides import MAX_OVERRIDES, EndpointOverrides, Override
 from scalelb.policy.events import EndpointsListed
-from scalelb.policy.handover import leave_handover, take_handover
+from scalelb.policy.handover import apply_handover, export_handover
 from scalelb.policy.settings import Plan
 from scalelb.transport.admin import CALLERS_MOST, AdminDoor
 
@@ -272,8 +272,8 @@
             fleet.run(20)
         limiter = fleet.limiters[0]
         fresh = Fleet(1, has_counter=False, max_units=1.0, plans=fleet.settings.plans).limiters[0]
-        account = orjson.loads(orjson.dumps(leave_handover(limiter, fleet.now)))
-        assert take_handover(fresh, account, fleet.now)[1] == 0
+        account = orjson.loads(orjson.dumps(export_handover(limiter, fleet.now)))
+        assert apply_handover(fresh, account, fleet.now)[1] == 0
         fleet.limiters[0] = fresh
         fleet.give(fresh, EndpointsListed(servers(60), is_complete=True))
     assert fleet.seen["units beyond"] == 0
@@ -293,11 +293,11 @@
 def test_an_account_that_can_not_be_is_left_out_entry_by_entry(spoil: Any) -> None:
     fleet = Fleet(2, has_counter=False)
     fleet.ask("c0", 0, 1.0, sharing_limiters=1)
-    account = orjson.loads(orjson.dumps(leave_handover(fleet.limiters[0], fleet.now)))
+    account = orjson.loads(orjson.dumps(export_handover(fleet.limiters[0], fleet.now)))
     spoil(account)
     limiter = fleet.limiters[1]
     usual = limiter.estimates.latency_ms
-    take_handover(limiter, account, fleet.now)
+    apply_handover(limiter, account, fleet.now)
     assert limiter.estimates.latency_ms == usual
     assert "c0" not in limiter.tenants.records.inherited or account["customers"]["c0"][0] < 1e9
 
@@ -339,10 +339,10 @@
     limiter.tenants.records.put(
         "c9", TenantRecord(0.0, 0.0, 0.0, 0.0, -1, old.now, old.now + 5000.0), old.now
     )
-    account = orjson.loads(orjson.dumps(leave_handover(limiter, old.now)))
+    account = orjson.loads(orjson.dumps(export_handover(limiter, old.now)))
     old.ask("stranger", 0, 1.0, sharing_limiters=1)
     assert limiter.tenants.tenants["stranger"].bucket.balance <= 0.0
-    take_handover(new.limiters[0], account, new.now)
+    apply_handover(new.limiters[0], account, new.now)
     new.ask("c9", 0, 1.0, sharing_limiters=1)
     assert new.limiters[0].tenants.tenants["c9"].bucket.balance <= 0.0
 
@@ -352,9 +352,9 @@
     now = 1_000_000.0
     old.charged_keys.record("c1", "k1", 1, now, 4000.0)
     old.charged_keys.record("c1", "k0", 1, now - 9000.0, 4000.0)
-    account = orjson.loads(orjson.dumps(leave_handover(old, now)))
+    account = orjson.loads(orjson.dumps(export_handover(old, now)))
     account["keys"].append(["c1", 7, now, 1])
-    assert take_handover(new, account, now)[1] == 1
+    assert apply_handover(new, account, now)[1] == 1
     assert new.charged_keys.is_charged_elsewhere("c1", "k1", 2, now)
     assert not new.charged_keys.is_charged_elsewhere("c1", "k1", 1, now)
     assert not new.charged_keys.is_charged_elsewhere("c1", "k0", 2, now)
