--- a/scalelb/policy/__init__.py
+++ b/scalelb/policy/__init__.py
@@ -1,4 +1,5 @@
-"""The decision module of one limiter.  No I/O: events come in, actions go out, the clock is an argument.
+"""The decision module of one limiter.
 
-Types: `events`, `actions`, `settings`, `endpoints`.
+It performs no I/O: it takes events, returns actions, and receives the current time as an argument. The types
+are defined in `events`, `actions`, `settings` and `endpoints`.
 """
--- a/scalelb/policy/actions.py
+++ b/scalelb/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a limiter wants done.  Types only; times in milliseconds."""
+"""Actions: the output of a limiter.  Types only; times in milliseconds."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Forward the request to an endpoint; its attempts are numbered from 0."""
+    """Forward a request to an endpoint; the attempts of a request are numbered from 0."""
 
     request_id: int
     attempt_number: int
     endpoint: str
     timeout_ms: float = 0.0  # 0: until the client's deadline
-    must_begin_within_ms: float = inf  # its first byte is written within this time, or never
+    must_begin_within_ms: float = inf  # time limit for writing the first byte; later the attempt is not sent
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,21 +27,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmitRequest:
-    """Final answer to an admission request: it may be forwarded, and its units are charged."""
+    """Final answer to an admission request: the caller may forward it, and its units are charged."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed; it may have been executed."""
+    """Final answer: failed; the request may have been executed."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt; its outcome still follows."""
+    """Stop waiting for an attempt; its `AttemptEnded` still follows."""
 
     request_id: int
     attempt_number: int
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a named number that all limiters share, and learn the total."""
+    """Add to a number on the shared counter; a `CounterReplied` with the total follows."""
 
     counter_key: int
     amount: float
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired`."""
+    """Request a `TimerFired` after a delay."""
 
     tag: int
     delay_ms: float
@@ -66,14 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask an endpoint for its load report."""
+    """Request a load report from an endpoint."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask for the endpoint list and its changes."""
+    """Subscribe to the endpoint list and its changes."""
 
 
 Action = (
--- a/scalelb/policy/admission.py
+++ b/scalelb/policy/admission.py
@@ -1,8 +1,8 @@
-"""Admission: load shedding, and whether the balance of a tenant covers a request.
+"""Admission: load shedding, and the check whether a tenant's balance covers a request.
 
 Load is shed with an admission probability that follows the endpoints' answers. A request that is not shed
-waits until the balance of its tenant is not negative (Gage), or rather until it covers what the request costs
-beyond a mean one.
+waits until the balance of its tenant covers the units by which the request exceeds a mean one. This refines
+the rule of Gage, where the balance only must not be negative.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from scalelb.policy.request import Request
 from scalelb.policy.token_bucket import UNITS_TOLERANCE
 
-LATE_ANSWER_RATIO = 0.5  # of the latency objective: a slower answer is late
-LATE_ANSWER_FACTOR = 0.85  # of the admission probability, after a late answer
-GOOD_ANSWER_STEP = 0.05  # of the admission probability, after an answer in time
-RECOVERY_FACTOR = 1.05  # of the admission probability, each second
+LATE_ANSWER_RATIO = 0.5  # ratio of the latency objective from which an answer counts as late
+LATE_ANSWER_FACTOR = 0.85  # multiplies the admission probability after a late answer
+GOOD_ANSWER_STEP = 0.05  # added to the admission probability after an answer in time
+RECOVERY_FACTOR = 1.05  # multiplies the admission probability once a second
 MIN_ADMISSION_PROBABILITY = 0.005
 PRECEDENCE_GAIN = 0.05  # weight of the newest request in the mean precedence
 
@@ -28,14 +28,14 @@
 
     def __init__(self, initial_precedence: float, rng: random.Random) -> None:
         self.admission_probability = 1.0
-        self.mean_precedence = initial_precedence  # of the requests that arrive
+        self.mean_precedence = initial_precedence  # running average over all requests that arrive
         self.random = rng
 
     def sheds(self, precedence: float) -> bool:
         """Decide whether a request of this class precedence is shed.
 
-        Sheds low-priority requests first: the admission probability is raised to the mean precedence over the
-        request's own.
+        Requests of low precedence are shed first: the admission probability is raised to the power of the
+        mean precedence divided by the request's own.
         """
         self.mean_precedence += PRECEDENCE_GAIN * (precedence - self.mean_precedence)
         relative_precedence = self.mean_precedence / max(precedence, 1e-9)
@@ -51,12 +51,12 @@
             self.admission_probability = min(1.0, self.admission_probability + GOOD_ANSWER_STEP)
 
     def recover(self) -> None:
-        """Raise the admission probability a little, once a second: without answers it would stay low."""
+        """Raise the admission probability once a second; otherwise it would stay low without answers."""
         self.admission_probability = min(1.0, self.admission_probability * RECOVERY_FACTOR)
 
 
 class QuotaCheck:
-    """Whether the balance of a tenant covers a request, and whether the counter is asked for it."""
+    """Decides whether a tenant's balance covers a request and whether to call the counter for it."""
 
     def __init__(self, leases: CounterLeases, charged_keys: ChargedKeys, rng: random.Random) -> None:
         self.leases = leases
@@ -65,19 +65,20 @@
         self.random = rng
 
     def is_charged_elsewhere(self, request: Request, now: float) -> bool:
-        """Whether another front end has charged an attempt with the request's key, so that it costs nothing
-        here."""
+        """Whether another front end has charged an attempt with the request's key: then it is free here."""
         return self.charged_keys.is_charged_elsewhere(
             request.tenant.name, request.idempotency_key, request.listener_bit, now
         )
 
     def missing_units(self, request: Request, now: float) -> float:
-        """Return the units that the balance lacks before the request may be sent; at most 0: it may be sent
-        now; `inf`: its tenant has as many attempts in flight as it may.
+        """Return the units that the balance lacks before the request may be sent.
 
-        A request that must wait for the counter needs all of its units, any other its excess over a mean one.
-        Once the counter has been unavailable for long (`is_backoff_at_max`) a balance that is not negative is
-        enough: this limiter's share of the rate would take minutes to cover an expensive class.
+        At 0 or below the request may be sent now. `inf` means that its tenant has reached its maximum of
+        attempts in flight.
+
+        A request that must wait for the counter needs all of its units, any other only its excess over a mean
+        request. After the counter has been unavailable for long (`is_backoff_at_max`) a balance that is not
+        negative is enough: this limiter's share of the rate would take minutes to cover an expensive class.
         """
         tenant = request.tenant
         bucket = tenant.bucket
@@ -97,11 +98,12 @@
         return missing
 
     def sample_for_counter(self, request: Request, now: float, latest_send_at: float) -> bool:
-        """Decide whether the counter is asked for a new request; changes the request and its bucket.
+        """Decide whether the counter is called for a new request; updates the request and its bucket.
 
-        One of a bucket on the counter waits for the answer. Under contention the counter is asked for a
-        sample of the requests, with as much more for each; of the others as many are admitted unasked as the
-        counter lately granted.
+        A request of a bucket on the counter waits for the answer. Under contention the counter is called only
+        for a sample of the requests, and each sampled request also charges the units of the unsampled ones
+        that it represents. Unsampled requests are admitted at a rate that follows the counter's recent
+        grants.
         """
         bucket = request.tenant.bucket
         if not bucket.is_kept_on_counter or bucket.balance >= request.units:
@@ -121,7 +123,7 @@
         return is_sampled
 
     def is_rejected_unsampled(self, request: Request, is_sampled: bool) -> bool:
-        """Whether a request is rejected that needs the counter's answer, as the counter is not asked."""
+        """Whether to reject a request that needs the counter's answer but for which no call is made."""
         if is_sampled or not request.must_wait_for_counter:
             return False
         return request.tenant.bucket.balance < request.units
--- a/scalelb/policy/attempt_sender.py
+++ b/scalelb/policy/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sending: the last checks before an attempt, the choice of its endpoint, and its charge."""
+"""Sends attempts: the last checks before an attempt, the selection of its endpoint, and the charge."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
         self.retries = retries
         self.concurrency = concurrency
         self.selector = selector
-        self.requests: dict[int, Request] = {}  # that are owed an answer, by request id
-        self.attempts: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and number
-        self.has_no_capacity = False  # no endpoint had any for the last request that was to be sent
+        self.requests: dict[int, Request] = {}  # requests without a final answer, by request id
+        self.attempts: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt number
+        self.has_no_capacity = False  # no endpoint had capacity for the last request
 
     def send(self, request: Request, now: float, is_charged: bool = True) -> bool:
         """Send an attempt to the best endpoint, or admit a request that only asks for admission.
 
-        Returns False where the tenant's ceiling or this limiter's concurrency limit is reached, or no
-        endpoint has capacity available.
+        Returns False if the tenant's ceiling or this limiter's concurrency limit is reached or no endpoint
+        has capacity available.
         """
         if self._exceeds_ceiling(request):
             return False
@@ -53,7 +53,7 @@
             return False
         tracked = self._select_endpoint(request, now)
         if tracked is None:
-            # One that may have been executed may go to few endpoints only: it tells nothing of the others.
+            # A request that may have been executed is limited to few endpoints: the others may have capacity.
             if not request.may_have_executed:
                 self.has_no_capacity = True
             return False
@@ -91,15 +91,17 @@
         tracked.record_send(now, self.selector.idle_timeout_ms)
 
     def _admit(self, request: Request, now: float, is_charged: bool) -> None:
-        """Admit a request that its asker forwards: it is charged like any other, and counts as in flight for
-        the usual time."""
+        """Admit a request that the caller forwards itself.
+
+        It is charged like any other request and counts as in flight for the mean latency.
+        """
         self._charge(request, now, is_charged)
         request.tenant.record_admitted(now + self.estimates.latency_ms)
         self.requests.pop(request.request_id, None)
         self.outbox.add(AdmitRequest(request.request_id))
 
     def _charge(self, request: Request, now: float, is_charged: bool) -> None:
-        """Charge a request's units, whole; one whose key another front end has charged costs nothing."""
+        """Charge all units of a request; a request whose key another front end has charged is free."""
         bucket = request.tenant.bucket
         is_charged_elsewhere = self.quota.is_charged_elsewhere(request, now)
         if request.idempotency_key:
--- a/scalelb/policy/counter_contention.py
+++ b/scalelb/policy/counter_contention.py
@@ -1,41 +1,41 @@
-"""Client-side adaptive throttling of calls to the shared counter, learnt from the limiter's own answers.
+"""Client-side adaptive throttling of calls to the shared counter, driven by the latency of its answers.
 
 All limiters share one counter, which serves calls in a single first-in first-out queue. When the offered
 calls exceed its capacity, the queueing delay rises until answers are late for every limiter. Each limiter
-therefore asks the counter for a sample of its requests only (`sampling_rate`). The rate is controlled by
-the queueing delay, estimated as an answer's latency beyond the lowest latency seen lately: one limiter of
-200 makes one or two calls a second, so a signal that only late answers give would be too rare to be both
-fast and mild. Below `COUNTER_QUEUE_DELAY_TARGET` the rate increases by at most `SAMPLING_RATE_GAIN` of
+therefore calls the counter only for a sample of its requests (`sampling_rate`). The rate is controlled by
+the queueing delay, which is estimated as an answer's latency beyond the lowest recent latency. Late answers
+alone would be too rare a signal for a control that is both fast and gentle: one limiter of 200 makes one or
+two calls a second. Below `COUNTER_QUEUE_DELAY_TARGET` the rate increases by at most `SAMPLING_RATE_GAIN` of
 itself with each answer; above it the rate decreases by up to `MAX_DECREASE_STEPS` times that. The queueing
 delay settles at the target for any number of limiters.
 
-Requests admitted without a counter call are assumed to conform to their quotas at the same rate as sampled
-ones. A limiter of many cannot tell which do: a customer reaches it once in minutes, and the token bucket's
-balance it was told then does not cover what other limiters have admitted since. Unsampled requests are
-therefore admitted at a rate that follows the share of sampled requests that the counter granted lately
-(`grant_ratio`): at that share, where a request beyond its quota costs as much as one within it earns; at a
-higher one where it costs less, up to all of them from a share of `FULL_ADMISSION_GRANT_RATIO` on.
+Requests admitted without a counter call are assumed to conform to their quotas as often as sampled ones. One
+limiter of many cannot know which of them do: a tenant reaches it once in several minutes, and the balance
+from that call does not include what the other limiters have admitted since. Unsampled requests are therefore
+admitted at a rate that follows the ratio of sampled requests that the counter granted recently
+(`grant_ratio`). The rate equals this ratio if a request beyond its quota costs as much as one within it
+earns. It is higher if such a request costs less, up to 1 from a ratio of `FULL_ADMISSION_GRANT_RATIO` on.
 
 A late answer is not a failure: the caller waits `Settings.counter_wait_ms` for it. Without an answer by
-then the counter is unavailable until the next answer: it is called again after a backoff that doubles with
-each failure, so that a counter that recovers is not overloaded at once.
+then the counter counts as unavailable until the next answer: it is called again after a backoff that doubles
+with each failure, so that a recovering counter is not overloaded at once.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-COUNTER_QUEUE_DELAY_TARGET = 0.5  # of the call's limit, `late_after_ms`
-SAMPLING_RATE_GAIN = 0.1  # of the sampling rate, the step of one answer
-MAX_DECREASE_STEPS = 4.0  # steps that one answer may decrease the sampling rate by
-MIN_SAMPLING_RATE = 0.05  # of the requests
-FAILURE_DECREASE_FACTOR = 0.6  # of the sampling rate, after a call without an answer
-MIN_DECREASE_INTERVAL_MS = 300.0  # between two decreases for failures
-BASELINE_LATENCY_GAIN = 0.02  # of the distance to a slower answer
-MIN_BACKOFF_MS = 50.0  # after the first failure
-MAX_BACKOFF_MS = 1000.0  # after many
-FULL_ADMISSION_GRANT_RATIO = 0.5  # of the sampled requests: where so many are granted, all unsampled ones go
-MAX_EXTRA_WEIGHT = 2.0  # unsampled requests that one sampled request may be charged for
+COUNTER_QUEUE_DELAY_TARGET = 0.5  # target queueing delay as a ratio of `late_after_ms`
+SAMPLING_RATE_GAIN = 0.1  # step of one answer as a ratio of the sampling rate
+MAX_DECREASE_STEPS = 4.0  # maximum steps by which one answer decreases the sampling rate
+MIN_SAMPLING_RATE = 0.05  # ratio of the requests
+FAILURE_DECREASE_FACTOR = 0.6  # multiplies the sampling rate after a call without an answer
+MIN_DECREASE_INTERVAL_MS = 300.0  # time between two decreases for failures
+BASELINE_LATENCY_GAIN = 0.02  # weight of a slower answer in the baseline latency
+MIN_BACKOFF_MS = 50.0  # backoff after the first failure
+MAX_BACKOFF_MS = 1000.0
+FULL_ADMISSION_GRANT_RATIO = 0.5  # grant ratio from which all unsampled requests are admitted
+MAX_EXTRA_WEIGHT = 2.0  # maximum of unsampled requests that one sampled request is charged for
 GRANT_RATIO_GAIN = 0.2  # weight of the newest answer in the running average
 
 
@@ -45,30 +45,32 @@
     def __init__(self, late_after_ms: float) -> None:
         """`late_after_ms`: latency of a counter call beyond which its answer is late."""
         self.late_after_ms = late_after_ms
-        self.sampling_rate = 1.0  # of the requests
+        self.sampling_rate = 1.0  # ratio of the requests for which the counter is called
         self.backoff_ms = 0.0  # above 0: the last call failed
-        self.next_call_at = 0.0  # ms; no call before
-        self.baseline_latency_ms = late_after_ms  # lowest latency lately
-        self.last_decrease_at = -inf  # ms; for a failure
-        self.grant_ratio = 1.0  # of the sampled requests lately
+        self.next_call_at = 0.0  # ms; no call is made before
+        self.baseline_latency_ms = late_after_ms  # lowest recent latency
+        self.last_decrease_at = -inf  # ms; time of the last decrease for a failure
+        self.grant_ratio = 1.0  # ratio of recently sampled requests that were granted
 
     @property
     def is_backoff_at_max(self) -> bool:
-        """Whether the backoff is at its longest, so that no answer should be waited for."""
+        """Whether the backoff is at its maximum, so that requests should not wait for an answer."""
         return self.backoff_ms >= MAX_BACKOFF_MS
 
-    def extra_weight(self, over_cost: float) -> float:
-        """Return how many admitted unsampled requests one sampled request stands for beside itself."""
-        return min(MAX_EXTRA_WEIGHT, (1 / self.sampling_rate - 1) * self.admission_rate(over_cost))
+    def extra_weight(self, over_quota_cost: float) -> float:
+        """Return the number of admitted unsampled requests that a sampled one represents besides itself."""
+        return min(MAX_EXTRA_WEIGHT, (1 / self.sampling_rate - 1) * self.admission_rate(over_quota_cost))
 
     def record_grant(self, is_granted: bool) -> None:
-        """Record whether the token bucket had the units that a call asked for."""
+        """Record whether the token bucket contained the units that a call requested."""
         self.grant_ratio += GRANT_RATIO_GAIN * (is_granted - self.grant_ratio)
 
-    def admission_rate(self, over_cost: float) -> float:
-        """Return the share of unsampled requests to admit; `over_cost`: the share of its worth that a request
-        beyond its quota costs."""
-        return min(1.0, self.grant_ratio / min(1.0, max(FULL_ADMISSION_GRANT_RATIO, over_cost)))
+    def admission_rate(self, over_quota_cost: float) -> float:
+        """Return the ratio of unsampled requests to admit.
+
+        `over_quota_cost`: cost of a request beyond its quota, as a ratio of its value.
+        """
+        return min(1.0, self.grant_ratio / min(1.0, max(FULL_ADMISSION_GRANT_RATIO, over_quota_cost)))
 
     def on_answer(self, now: float, elapsed_ms: float) -> None:
         """Adjust the sampling rate to an answer that took `elapsed_ms`, and end any backoff."""
@@ -83,7 +85,7 @@
 
     def on_failure(self, now: float) -> None:
         """Decrease the sampling rate and back off after a call that had no answer or was rejected."""
-        if now - self.last_decrease_at >= MIN_DECREASE_INTERVAL_MS:  # once for all calls that failed together
+        if now - self.last_decrease_at >= MIN_DECREASE_INTERVAL_MS:  # only once for calls that fail together
             self.sampling_rate = max(MIN_SAMPLING_RATE, self.sampling_rate * FAILURE_DECREASE_FACTOR)
             self.last_decrease_at = now
         self.backoff_ms = min(MAX_BACKOFF_MS, max(MIN_BACKOFF_MS, 2 * self.backoff_ms))
--- a/scalelb/policy/endpoint_selection.py
+++ b/scalelb/policy/endpoint_selection.py
@@ -1,8 +1,8 @@
-"""Which endpoint an attempt goes to: the one of least expected latency among a few drawn by capacity.
+"""Selects the endpoint of an attempt: the lowest expected latency among a few candidates drawn by capacity.
 
-After the node scheduler of Gage: least outstanding load against capacity, corrected by the endpoint's faults
-and by what a new connection costs. Only a few endpoints are drawn (the power of several choices), as hundreds
-of limiters would else all choose the same one.
+Follows the node scheduler of Gage: least outstanding load relative to capacity, corrected by the endpoint's
+faults and by the cost of a new connection. Only a few candidates are drawn (the power of several choices);
+otherwise hundreds of limiters would all choose the same endpoint.
 """
 
 from __future__ import annotations
@@ -21,15 +21,16 @@
 from scalelb.policy.running_estimates import RunningEstimates
 from scalelb.policy.settings import IDLE_REUSE_RATIO, Settings
 
-DRAWN_ENDPOINTS = 8  # that are compared for one attempt
-OTHER_ZONE_FACTOR = 1.02  # an endpoint of another zone looks slower
-JITTER = 0.1  # of the expected latency, drawn for each candidate
-MAX_PREFERRED_FAILURE_RATIO = 0.5  # an endpoint of the subset that fails more often: all are drawn from
+CANDIDATES_PER_ATTEMPT = 8  # endpoints that are compared for one attempt
+OTHER_ZONE_FACTOR = 1.02  # multiplies the expected latency of an endpoint in another zone
+JITTER_RATIO = 0.1  # maximum random addition for each candidate, as a ratio of its expected latency
+# If the best candidate of the subset fails at least this often, candidates are drawn from all endpoints.
+MAX_PREFERRED_FAILURE_RATIO = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Endpoints to draw from, by capacity."""
+    """A set of endpoints from which candidates are drawn with a probability proportional to capacity."""
 
     endpoints: list[TrackedEndpoint]
     cumulative_capacity: list[float]
@@ -41,20 +42,20 @@
 
 
 class EndpointSelector:
-    """The endpoints of one limiter and the choice among them."""
+    """The serving endpoints of one limiter and the selection among them."""
 
     def __init__(self, settings: Settings, estimates: RunningEstimates, rng: random.Random) -> None:
         self.settings = settings
         self.estimates = estimates
         self.random = rng
         self.slow_start = slow_start.SlowStartBudget(settings, rng)
-        self.endpoints: dict[str, TrackedEndpoint] = {}  # that serve, by name
-        self.pools: list[Pool] = []  # drawn from first to last; the last holds all warm endpoints
-        self.mean_capacity = 1.0  # relative capacity, of all that serve
-        self.idle_timeout_ms = IDLE_REUSE_RATIO * settings.idle_timeout_ms  # of pooled connections
+        self.endpoints: dict[str, TrackedEndpoint] = {}  # serving endpoints by name
+        self.pools: list[Pool] = []  # in order of preference; the last contains all warm endpoints
+        self.mean_capacity = 1.0  # mean relative capacity of the serving endpoints
+        self.idle_timeout_ms = IDLE_REUSE_RATIO * settings.idle_timeout_ms  # for pooled connections
 
     def on_endpoints_listed(self, now: float, event: EndpointsListed) -> None:
-        """Take over the endpoint list or a change of it; endpoints that do not serve are forgotten."""
+        """Apply the endpoint list or a change to it; endpoints that no longer serve are dropped."""
         if event.is_complete:
             for tracked in self.endpoints.values():
                 tracked.is_serving = False
@@ -74,7 +75,7 @@
         tracked.is_serving = endpoint.state is EndpointState.SERVING
 
     def update_pools(self, now: float) -> None:
-        """Move endpoints whose slow start is over to the warm ones, and draw this limiter's subset anew."""
+        """Add endpoints that completed their slow start to the warm ones and update this limiter's subset."""
         self.slow_start.record_work(now)
         serving = list(self.endpoints.values())
         for tracked in serving:
@@ -99,9 +100,9 @@
             self.slow_start.assume_work(self.mean_capacity, self.estimates.units, shortest_ms)
 
     def select(self, request: Request, now: float, group: int | None) -> TrackedEndpoint | None:
-        """Return the endpoint for an attempt; `None` where none has capacity available.
+        """Return the endpoint for an attempt; `None` if no endpoint has capacity available.
 
-        `group`: the only deduplication group that it may go to; `None`: any endpoint.
+        `group`: the only deduplication group that is allowed; `None`: any endpoint is allowed.
         """
         in_slow_start = self.slow_start.draw(now, request.units)
         best: TrackedEndpoint | None = None
@@ -115,7 +116,7 @@
             if pool.endpoints:
                 weights = pool.cumulative_capacity
                 candidates = candidates + self.random.choices(
-                    pool.endpoints, cum_weights=weights, k=DRAWN_ENDPOINTS
+                    pool.endpoints, cum_weights=weights, k=CANDIDATES_PER_ATTEMPT
                 )
             cheapest, cost = self._cheapest(candidates, request, now)
             if cost < lowest_cost:
@@ -129,11 +130,11 @@
     def _cheapest(
         self, candidates: list[TrackedEndpoint], request: Request, now: float
     ) -> tuple[TrackedEndpoint | None, float]:
-        """Return the candidate of least cost, and its cost: expected latency (ms) times its relative load."""
+        """Return the candidate of lowest cost, and its cost: expected latency (ms) times relative load."""
         load = request.units / self.estimates.units
         usual_ms = self.estimates.latency_ms
         memory_ms = fault_memory_ms(self.estimates.answer_interval_ms, len(self.endpoints))
-        # The value of a request is lost over its latency objective; so the cost of a handshake is a time.
+        # The cost of a handshake as a time: a request loses its full value over its latency objective.
         handshake_ms = self.settings.handshake_cost * request.request_class.latency_objective_ms
         best: TrackedEndpoint | None = None
         lowest_cost = inf
@@ -143,10 +144,10 @@
                 now, usual_ms, memory_ms, request.last_endpoint, self.idle_timeout_ms, handshake_ms
             )
             outstanding = tracked.load_in_flight * self.mean_capacity / endpoint.relative_capacity
-            # One in slow start was drawn within its budget: it is preferred to the other candidates.
-            cost *= (load + outstanding) / (1 if tracked.is_warm() else DRAWN_ENDPOINTS)
+            # An endpoint in slow start was drawn within its budget, so it is preferred to other candidates.
+            cost *= (load + outstanding) / (1 if tracked.is_warm() else CANDIDATES_PER_ATTEMPT)
             zone_factor = 1.0 if endpoint.zone == self.settings.zone else OTHER_ZONE_FACTOR
-            cost *= zone_factor + JITTER * self.random.random()
+            cost *= zone_factor + JITTER_RATIO * self.random.random()
             if tracked.load_in_flight and tracked.load_in_flight + load > tracked.concurrency_limit:
                 continue
             if cost < lowest_cost:
--- a/scalelb/policy/endpoints.py
+++ b/scalelb/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""What the endpoint list of service discovery says of an endpoint (a backend server)."""
+"""Entries of the endpoint list from service discovery.  An endpoint is a backend server."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     """The state of an endpoint in the endpoint list."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # finishes what it has; takes nothing new
+    DRAINING = "draining"  # completes its requests in flight; accepts no new ones
     REMOVED = "gone"
 
 
@@ -22,5 +22,5 @@
     state: EndpointState
     zone: int = 0
     cell: int = 0
-    relative_capacity: float = 1.0  # compares endpoints; no unit
-    started_at: float = 0.0  # ms; 0: long ago
+    relative_capacity: float = 1.0  # relative to other endpoints, without a unit
+    started_at: float = 0.0  # ms; 0: long ago, no slow start
--- a/scalelb/policy/events.py
+++ b/scalelb/policy/events.py
@@ -1,4 +1,4 @@
-"""Events: what a limiter is told.  Types only; times in milliseconds."""
+"""Events: the input of a limiter.  Types only; times in milliseconds."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
     OK = "ok"
     ERROR = "error"  # may have been executed
-    REJECTED = "full"  # the endpoint shed it: never executed
-    TIMEOUT = "timeout"  # may have been executed, or may still be
+    REJECTED = "full"  # shed by the endpoint: never executed
+    TIMEOUT = "timeout"  # may have been executed, or may still be executed
     CONNECT_FAILED = "connect failed"  # never executed
     RESET = "reset"  # may have been executed
     CANCELLED = "cancelled"  # may have been executed
     NOT_SENT = "moot"  # never executed
 
 
-LOAD_SIGNALS = (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)  # outcomes that tell of an endpoint's load
+LOAD_SIGNALS = (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)  # outcomes that depend on an endpoint's load
 NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 NEVER_REACHED_ENDPOINT = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The limiter starts."""
+    """The limiter has started."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsListed:
-    """The endpoint list: all of it, or the entries that changed."""
+    """The complete endpoint list, or the entries that changed."""
 
     endpoints: tuple[Endpoint, ...]
     is_complete: bool
@@ -42,33 +42,33 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListLost:
-    """A call to discovery failed, or the watch ended."""
+    """A call to discovery failed or the watch ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request; exactly one final answer is owed."""
+    """A client's request arrived; it must get exactly one final answer."""
 
     request_id: int
     tenant: str
     plan_index: int
     class_index: int
     expires_in_ms: float
-    units: float  # an estimate where the settings say that the true cost follows
-    sharing_limiters: int  # how many limiters the tenant's requests come through
-    first_limiter: int = 0  # index of the first of these
-    is_retry: bool = False  # by the client
-    listener: int = 0  # which of the limiter's own front ends it came through
-    idempotency_key: str = ""  # identifies its attempts at the other front ends; empty: none
-    admission_only: bool = False  # whoever asks does the forwarding
-    queued_ms: float = 0.0  # how long it has waited in the admission queue
-    executed_on: Endpoint | None = None  # where an attempt with its key may have been executed, sent by
-    executed_at: float = 0.0  # another limiter at this time
+    units: float  # an estimate if `Settings.settles_true_units` is set
+    sharing_limiters: int  # number of limiters that receive the tenant's requests
+    first_limiter: int = 0  # index of the first of the sharing limiters
+    is_retry: bool = False  # whether it is a retry by the client
+    listener: int = 0  # number of the front end of this limiter that received it
+    idempotency_key: str = ""  # identifies its attempts across front ends; empty: no key
+    admission_only: bool = False  # the caller forwards the request itself
+    queued_ms: float = 0.0  # time spent in the admission queue
+    executed_on: Endpoint | None = None  # may have executed an attempt with this key from another limiter
+    executed_at: float = 0.0  # when the other limiter sent that attempt
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has begun; its bytes go to the client."""
+    """A streamed response has started; its bytes are forwarded to the client."""
 
     request_id: int
     attempt_number: int
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended."""
+    """An attempt ended."""
 
     request_id: int
     attempt_number: int
@@ -85,28 +85,28 @@
     outcome: Outcome
     elapsed_ms: float
     request_finished: bool
-    true_units: float = 0.0  # 0: not told
+    true_units: float = 0.0  # 0: not reported
     load_report: Mapping[str, float] = field(default_factory=dict)
-    quota_used_percent: float | None = None  # by the tenant in the last metering period, over all limiters
+    quota_used_percent: float | None = None  # of the tenant in the last metering period, over all limiters
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The client closed its connection; no answer is owed."""
+    """The client closed its connection; no answer is needed."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer came due."""
+    """A timer fired."""
 
     tag: int
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReplied:
-    """The answer to one `AddToCounter`."""
+    """The outcome of one `AddToCounter`."""
 
     counter_key: int
     outcome: Outcome
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """What a health check found."""
+    """The result of a health check."""
 
     endpoint: str
     outcome: Outcome
--- a/scalelb/policy/exceptions.py
+++ b/scalelb/policy/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors that the decision module raises."""
+"""Exceptions of the decision module."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class DecisionFaultError(Exception):
-    """Something failed while events were handled.
+    """An exception occurred while events were handled.
 
-    `actions` is what is to be done all the same, in order: it holds what all other events call for, the
-    timers, and a `FailRequest` for each request that the fault concerned. `errors` is what failed.
+    `actions` must be carried out nevertheless, in order: the actions for all other events, the timers, and a
+    `FailRequest` for each request that the fault affected. `errors` contains the original exceptions.
     """
 
     def __init__(self, actions: list[Action], errors: list[Exception]) -> None:
--- a/scalelb/policy/handover.py
+++ b/scalelb/policy/handover.py
@@ -1,11 +1,12 @@
-"""What one incarnation of a limiter leaves to the next, in the middle of its work.  No I/O.
+"""Handover of state from one incarnation of a limiter to its successor while it serves requests.  No I/O.
 
-The incarnation that leaves takes nothing new from here on. Of each tenant it keeps what its queue needs and
-gives the rest away, so that the units on hand are spent by one of the two and never by both. It gives what it
-has learnt of the endpoints as well, and the whole slow-start budget.
+After the export the predecessor accepts no new requests. For each tenant it keeps the units that its queue
+needs and hands over the rest, so that each unit on hand is spent by only one of the two incarnations. It also
+hands over its endpoint statistics and the whole slow-start budget.
 
-A handover is read like input of a stranger: each number within its range, a malformed entry left out. Its
-keys are a stored format, which other versions read and write; they are mapped to the code's names here.
+A handover is validated like untrusted input: each number must be within its range, and malformed entries are
+skipped. Its keys are a stored format, which other versions read and write; this module maps them to the names
+in the code.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from scalelb.policy.tenant import Tenant
 from scalelb.policy.tenant_table import MAX_TENANTS
 
-ENDED_AFTER_LATENCIES = 2.0  # usual latencies after which attempts in flight count as ended
+ENDED_AFTER_LATENCIES = 2.0  # mean latencies after which attempts in flight count as ended
 MAX_UNITS = 1e9
 MAX_AGE_MS = 120_000.0
 MAX_CLOCK_SKEW_MS = 1000.0
@@ -30,11 +31,11 @@
 MAX_TIME_MS = 1e15
 MAX_ENDPOINTS = 4096
 MAX_NAME_CHARACTERS = 256
-MAX_REFILL_MS = 600_000.0  # that a bucket may take to be full again
+MAX_REFILL_MS = 600_000.0  # maximum time until a bucket is full again
 
 
 class Range(NamedTuple):
-    """The values that a number of a handover may have."""
+    """The allowed values of a number in a handover."""
 
     minimum: float
     maximum: float
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True)
 class StoredFigure:
-    """A figure of the limiter itself: its stored key, its owner, the owner's attribute, its range."""
+    """A single number of the limiter's state: its stored key, its owner, the owner's attribute, its range."""
 
     key: str
     owner: Callable[[Limiter], object]
@@ -56,12 +57,12 @@
     range: Range
 
     def read(self, limiter: Limiter) -> float:
-        """Return the figure."""
+        """Return the current value."""
         value: float = getattr(self.owner(limiter), self.attribute)
         return value
 
     def write(self, limiter: Limiter, value: float) -> None:
-        """Set the figure."""
+        """Set the value."""
         setattr(self.owner(limiter), self.attribute, value)
 
 
@@ -92,22 +93,22 @@
 
 
 class HandoverResult(NamedTuple):
-    """What came of a handover: entries that were taken over, and entries that could not be read."""
+    """The number of entries of a handover that were applied, and of those that were malformed."""
 
     applied: int
     malformed: int
 
 
 def export_handover(limiter: Limiter, now: float) -> dict[str, Any]:
-    """Return the handover at `now` (ms); what it says is given away."""
+    """Return the handover at `now` (ms) and give up the units that it contains."""
     records = limiter.tenants.records
     tenants = {
-        tenant.name: _leave_tenant(limiter, tenant, now) for tenant in limiter.tenants.tenants.values()
+        tenant.name: _export_tenant(limiter, tenant, now) for tenant in limiter.tenants.tenants.values()
     }
     handover = {
         "at": now,
-        # Evicted tenants have compact records, which name nobody: until all of them are full again, a tenant
-        # that is not in the handover begins with an empty bucket.
+        # Evicted tenants have compact records without names.  Until all of their buckets are full again, a
+        # tenant that is not in the handover starts with an empty bucket.
         "given_way_until": now + _longest_refill_ms(limiter) if records.count else 0.0,
         "figures": {figure.key: figure.read(limiter) for figure in FIGURES},
         "customers": {
@@ -122,9 +123,9 @@
             if entry.until > now
         ],
     }
-    limiter.selector.slow_start.work_units = 0.0  # nothing more to endpoints in slow start from here on
+    limiter.selector.slow_start.work_units = 0.0  # send no more attempts to endpoints in slow start
     limiter.selector.slow_start.saved_units = 0.0
-    records.unknown_start_empty_until = inf  # and no balance to a tenant that comes to this incarnation
+    records.unknown_start_empty_until = inf  # new tenants of this incarnation start with an empty bucket
     return handover
 
 
@@ -146,13 +147,16 @@
     ]
 
 
-def _leave_tenant(limiter: Limiter, tenant: Tenant, now: float) -> TenantRecord:
-    """Return the record of a tenant; it keeps what its queue needs, come or still to come.  The queue of a
-    bucket on the counter asks the counter for that."""
+def _export_tenant(limiter: Limiter, tenant: Tenant, now: float) -> TenantRecord:
+    """Return the record of a tenant and keep the units that its queue needs.
+
+    They are retained as balance as far as it covers them, and as a lease for the rest. For a bucket on the
+    counter none are retained: its queue requests them from the counter.
+    """
     bucket = tenant.bucket
     tenant.credit(now, limiter.leases.refills_itself())
     needed = 0.0 if bucket.is_kept_on_counter else tenant.queue.units
-    kept = min(bucket.balance, needed)
+    retained = min(bucket.balance, needed)
     reported = 0.0
     if bucket.has_call_in_flight and not bucket.is_reading_previous_window:
         reported = bucket.call_amount - bucket.requested
@@ -160,12 +164,12 @@
     bucket.leased = 0.0
     bucket.unreported -= reported
     record = bucket.to_record(now, limiter.leases.is_counter_available())
-    bucket.balance = kept
-    bucket.leased = needed - kept
+    bucket.balance = retained
+    bucket.leased = needed - retained
     bucket.lease_credited_from = now
     bucket.unreported = reported
     if not bucket.is_kept_on_counter:
-        # While the counter is unavailable both incarnations would else refill the bucket.
+        # Otherwise both incarnations would refill the bucket while the counter is unavailable.
         bucket.plan = replace(bucket.plan, burst=0.0)
     in_flight = tenant.attempts_in_flight + len(tenant.queue.requests)
     ended_at = now
@@ -175,21 +179,24 @@
 
 
 def apply_handover(limiter: Limiter, handover: dict[str, Any], now: float) -> HandoverResult:
-    """Go on where the incarnation before has ended.  A tenant that is known here by now has its own balance
-    already, and an endpoint that was restarted since is left as it is."""
+    """Apply the handover of the predecessor.
+
+    Tenants that are already known here keep their own balance, and endpoints that have restarted since keep
+    their own statistics.
+    """
     if not Range(now - MAX_AGE_MS, now + MAX_CLOCK_SKEW_MS).contains(handover.get("at")):
         return HandoverResult(0, 1)
     given_way_until: Any = handover.get("given_way_until")
-    parts = [_take_figures(limiter, handover.get("figures"), now)]
+    parts = [_apply_figures(limiter, handover.get("figures"), now)]
     if Range(now, now + MAX_REFILL_MS).contains(given_way_until):
         limiter.tenants.records.unknown_start_empty_until = float(given_way_until)
-    parts.append(_take_tenants(limiter, handover.get("customers"), now))
-    parts.append(_take_endpoints(limiter, handover.get("servers"), now))
-    parts.append(_take_keys(limiter, handover.get("keys"), now))
+    parts.append(_apply_tenants(limiter, handover.get("customers"), now))
+    parts.append(_apply_endpoints(limiter, handover.get("servers"), now))
+    parts.append(_apply_keys(limiter, handover.get("keys"), now))
     return HandoverResult(sum(part.applied for part in parts), sum(part.malformed for part in parts))
 
 
-def _take_figures(limiter: Limiter, figures: Any, now: float) -> HandoverResult:
+def _apply_figures(limiter: Limiter, figures: Any, now: float) -> HandoverResult:
     if not isinstance(figures, dict):
         return HandoverResult(0, 1)
     if not all(figure.range.contains(figures.get(figure.key)) for figure in FIGURES):
@@ -201,32 +208,32 @@
     return HandoverResult(1, 0)
 
 
-def _take_tenants(limiter: Limiter, entries: Any, now: float) -> HandoverResult:
-    taken = malformed = 0
+def _apply_tenants(limiter: Limiter, entries: Any, now: float) -> HandoverResult:
+    applied = malformed = 0
     for name, entry in list(entries.items())[:MAX_TENANTS] if isinstance(entries, dict) else []:
         record = _read_record(entry, now)
         if record is None or not 0 < len(name) <= MAX_NAME_CHARACTERS:
             malformed += 1
         elif name not in limiter.tenants.tenants:
             limiter.tenants.records.inherited[name] = record
-            taken += 1
-    return HandoverResult(taken, malformed)
+            applied += 1
+    return HandoverResult(applied, malformed)
 
 
-def _take_endpoints(limiter: Limiter, entries: Any, now: float) -> HandoverResult:
-    taken = malformed = 0
+def _apply_endpoints(limiter: Limiter, entries: Any, now: float) -> HandoverResult:
+    applied = malformed = 0
     for name, entry in list(entries.items())[:MAX_ENDPOINTS] if isinstance(entries, dict) else []:
         if not _are_within(entry, ENDPOINT_RANGES):
             malformed += 1
             continue
         tracked = limiter.selector.endpoints.get(name)
         if tracked is not None and tracked.endpoint.started_at <= entry[0]:
-            _take_endpoint(tracked, entry, now)
-            taken += 1
-    return HandoverResult(taken, malformed)
+            _apply_endpoint(tracked, entry, now)
+            applied += 1
+    return HandoverResult(applied, malformed)
 
 
-def _take_endpoint(tracked: TrackedEndpoint, entry: list[float], now: float) -> None:
+def _apply_endpoint(tracked: TrackedEndpoint, entry: list[float], now: float) -> None:
     _, latency_ms, failure_ratio, limit, updated_at, answer_weight, connect_failures, ejected_until = entry
     tracked.latency_ms = float(latency_ms)
     tracked.failure_ratio = float(failure_ratio)
@@ -237,8 +244,8 @@
     tracked.ejected_until = min(float(ejected_until), now + MAX_EJECTION_MS)
 
 
-def _take_keys(limiter: Limiter, entries: Any, now: float) -> HandoverResult:
-    taken = malformed = 0
+def _apply_keys(limiter: Limiter, entries: Any, now: float) -> HandoverResult:
+    applied = malformed = 0
     for entry in entries[:MAX_KEYS] if isinstance(entries, list) else []:
         match entry:
             case [str(tenant), str(key), until, int(listeners)] if Range(now, now + MAX_AGE_MS).contains(
@@ -246,23 +253,23 @@
             ):
                 charged = ChargedKey(float(until), listeners)
                 limiter.charged_keys.charged.setdefault((tenant, key), charged)
-                taken += 1
+                applied += 1
             case _:
                 malformed += 1
-    return HandoverResult(taken, malformed)
+    return HandoverResult(applied, malformed)
 
 
 def _read_record(entry: Any, now: float) -> TenantRecord | None:
     ranges = (
         Range(-MAX_UNITS, MAX_UNITS),  # balance
-        Range(-MAX_UNITS, MAX_UNITS),  # unreported
-        Range(-MAX_UNITS, MAX_UNITS),  # counter balance
-        Range(-MAX_TIME_MS, MAX_TIME_MS),  # counter total
-        Range(-1, MAX_WINDOW * 1e3),  # counter window
-        Range(now - MAX_AGE_MS, now + MAX_CLOCK_SKEW_MS),  # written at
-        Range(0.0, now + 1e9),  # full at
-        Range(0, MAX_ENDPOINTS),  # attempts in flight
-        Range(0.0, now + 1e6),  # when these count as ended
+        Range(-MAX_UNITS, MAX_UNITS),  # unreported_units
+        Range(-MAX_UNITS, MAX_UNITS),  # shared_balance
+        Range(-MAX_TIME_MS, MAX_TIME_MS),  # counter_total
+        Range(-1, MAX_WINDOW * 1e3),  # counter_window
+        Range(now - MAX_AGE_MS, now + MAX_CLOCK_SKEW_MS),  # evicted_at
+        Range(0.0, now + 1e9),  # full_at
+        Range(0, MAX_ENDPOINTS),  # in_flight
+        Range(0.0, now + 1e6),  # in_flight_until
     )
     if not _are_within(entry, ranges):
         return None
--- a/scalelb/policy/settings.py
+++ b/scalelb/policy/settings.py
@@ -6,17 +6,17 @@
 from enum import Enum
 from math import inf
 
-# A connection is reused only while it has been idle for less than this part of the time after which the
-# endpoint closes it.  The decisions count the connections that the pool keeps, so both use it.
+# A connection is reused only if it has been idle for less than this ratio of the endpoint's idle timeout.
+# The connection pool and the endpoint selection, which counts pooled connections, both use it.
 IDLE_REUSE_RATIO = 0.5
-# Part of the shortest latency objective for which an answer of the counter is waited for.
+# Minimum time to wait for an answer of the counter, as a ratio of the shortest latency objective.
 COUNTER_WAIT_RATIO = 0.15
 
 
 class Idempotency(Enum):
-    """What a second execution of a request does."""
+    """The effect of executing a request more than once."""
 
-    IDEMPOTENT = "safe"  # any number of executions does no harm
+    IDEMPOTENT = "safe"  # repeated execution is harmless
     IDEMPOTENCY_KEY = "keyed"  # endpoints of one scope drop duplicates within a window
     NOT_IDEMPOTENT = "unsafe"  # must never be executed twice
 
@@ -31,19 +31,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """The properties of one class of requests."""
 
     latency_objective_ms: float  # an answer within this time has its full value
     deadline_ms: float
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    idempotency_window_ms: float = 0.0  # how long a scope remembers an idempotency key
+    idempotency_window_ms: float = 0.0  # time for which a scope stores an idempotency key
     priority_weight: float = 1.0
-    late_value_ratio: float = 0.0  # part of the value that is left after the latency objective
+    late_value_ratio: float = 0.0  # ratio of the value that remains after the latency objective
 
     @property
     def is_retriable_anywhere(self) -> bool:
-        """Whether a retry does no harm, whichever endpoint it goes to."""
+        """Whether a retry is harmless at any endpoint."""
         if self.idempotency is Idempotency.IDEMPOTENT:
             return True
         has_key = self.idempotency is Idempotency.IDEMPOTENCY_KEY
@@ -52,17 +52,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a tenant of a plan may use, over all limiters together; 0 stands for no such limit."""
+    """The quota of each tenant on this plan, over all limiters together; 0 means no limit."""
 
-    rate_per_s: float = 0.0  # units a second, refill rate of the token bucket
+    rate_per_s: float = 0.0  # units per second, refill rate of the token bucket
     burst: float = 0.0  # units, size of the token bucket
     max_concurrent_attempts: int = 0
-    ceiling_rate_per_s: float = 0.0  # units a second, never to be exceeded
+    ceiling_rate_per_s: float = 0.0  # units per second, never exceeded
     ceiling_burst: float = 0.0  # units
     ceiling_slack: float = 0.0  # units
     price: float = 1.0
-    over_quota_value_ratio: float = 0.0  # part of the value earned beyond the quota
-    over_quota_cost_ratio: float = 0.0  # part of the value paid for forwarding beyond the quota
+    over_quota_value_ratio: float = 0.0  # ratio of the value that is earned beyond the quota
+    over_quota_cost_ratio: float = 0.0  # ratio of the value that forwarding beyond the quota costs
 
     @property
     def gains_beyond_quota(self) -> bool:
@@ -72,8 +72,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """How the operators weigh two ratios: the value within quotas that is answered in time, of all requests
-    and of the class that fares worst."""
+    """The operator's weights of two ratios: the value within quotas that is answered in time, over all
+    requests and in the worst class."""
 
     overall_weight: float = 1.0
     worst_class_weight: float = 0.0
@@ -81,46 +81,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a limiter is told at its start.  Raises `ValueError` where a value is out of its range."""
+    """The settings of one limiter.  Raises `ValueError` if a value is out of its range."""
 
     limiter_index: int
     limiter_count: int
     zone: int
     request_classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    max_attempts: int  # of one request
-    slow_start_initial_ratio: float  # a started endpoint has at least this part of its capacity
-    slow_start_ms: float  # and all of it after this time
-    overload_multiple: float  # an endpoint that is warming up fails under so many times its capacity
-    overload_window_ms: float  # within this time
-    max_units: float  # of one request
-    settles_true_units: bool = False  # units are an estimate; the first good answer tells the true ones
+    max_attempts: int  # attempts of one request
+    slow_start_initial_ratio: float  # ratio of its capacity that an endpoint has when it starts
+    slow_start_ms: float  # time after which a started endpoint has its full capacity
+    overload_multiple: float  # an endpoint that is warming up fails at this multiple of its capacity
+    overload_window_ms: float  # time within which the multiple is measured
+    max_units: float  # units of one request
+    settles_true_units: bool = False  # whether units are estimates until the first good answer reports them
     has_counter: bool = False
     counter_late_after_ms: float = 0.0  # an answer of the counter that takes longer is late
     cancels_attempts: bool = False
     has_health_checks: bool = False
     sends_retry_after: bool = False
     max_retry_after_ms: float = 0.0
-    subscribes_to_endpoints: bool = False  # the endpoint list has to be asked for
-    handshake_cost: float = 0.0  # of a new connection, in requests of mean value
-    idle_timeout_ms: float = 0.0  # an endpoint closes a connection that was idle for so long
-    discovery_silence_ms: float = 10_000.0  # a limiter that has not polled for so long counts as notified
+    subscribes_to_endpoints: bool = False  # whether the limiter must subscribe to the endpoint list
+    handshake_cost: float = 0.0  # cost of a new connection, in requests of mean value
+    idle_timeout_ms: float = 0.0  # idle time after which an endpoint closes a connection
+    discovery_silence_ms: float = 10_000.0  # a limiter that has not polled for this time counts as notified
     objective: Objective = Objective()
 
     @property
     def counter_wait_ms(self) -> float:
-        """How long an answer of the counter is waited for; one that takes longer than `counter_late_after_ms`
-        is late, which tells of contention, and still counts."""
+        """The time to wait for an answer of the counter.
+
+        An answer after `counter_late_after_ms` is late, which signals contention, but it still counts.
+        """
         shortest_objective_ms = min(kind.latency_objective_ms for kind in self.request_classes)
         return max(self.counter_late_after_ms, COUNTER_WAIT_RATIO * shortest_objective_ms)
 
     def class_precedences(self) -> tuple[float, ...]:
-        """The precedence of each class where units or endpoints are short: its weight, or 1 for all.
+        """The precedence of each class when units or endpoints are scarce: its weight, or 1 for all classes.
 
         A unit spent on the class of highest weight instead of the lowest gains `overall_weight` times the
-        difference in mean weights. It costs `worst_class_weight` times the number of classes while the class
-        of lowest weight fares worst, with the classes taken to be asked for equally, as the settings do not
-        tell."""
+        difference in weights, relative to the mean weight. While the class of lowest weight is the worst
+        class, it costs `worst_class_weight` times the number of classes. Demand is assumed to be equal in all
+        classes, as the settings do not specify it.
+        """
         weights = tuple(kind.priority_weight for kind in self.request_classes)
         mean = max(sum(weights) / len(weights), 1e-9)
         gain = self.objective.overall_weight * (max(weights) - min(weights)) / mean
@@ -129,7 +132,7 @@
 
     def __post_init__(self) -> None:
         if not self.request_classes or not self.plans or self.limiter_count < 1 or self.max_attempts < 1:
-            raise ValueError("settings need a request class, a plan, a limiter and an attempt")
+            raise ValueError("settings must have at least one request class, plan, limiter and attempt")
         positive = {
             "slow_start_initial_ratio": self.slow_start_initial_ratio,
             "slow_start_ms": self.slow_start_ms,
