--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,7 +9,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from driver import SETTINGS, servers
+from driver import SETTINGS, serving_endpoints
 
 from scalelb import Limiter
 from scalelb.policy.actions import Action, AddToCounter, FailRequest, RejectRequest, SendAttempt, SetTimer
@@ -44,7 +44,7 @@
         self.took: Callable[[str], float] = lambda server: 200.0
         for limiter in self.limiters:
             self.give(limiter, Started())
-            self.give(limiter, EndpointsListed(servers(backends), is_complete=True))
+            self.give(limiter, EndpointsListed(serving_endpoints(backends), is_complete=True))
 
     def at(self, delay_ms: float, do: Callable[[], None]) -> None:
         self.order += 1
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 import orjson
-from driver import SAFE, SETTINGS, UNSAFE, Driver, servers
+from driver import IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, SETTINGS, Driver, serving_endpoints
 from scenario import Net, Wire
 
 from scalelb.admission_queue.tenant_records import TenantRecord, TenantRecords
@@ -91,10 +91,10 @@
 
 # The account inside `left-N`
 
-KEYED_CLASS = replace(SAFE, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window_ms=5000.0)
+KEYED_CLASS = replace(IDEMPOTENT_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, idempotency_window_ms=5000.0)
 HANDOVER_SETTINGS = replace(
     SETTINGS,
-    request_classes=(SAFE, UNSAFE, KEYED_CLASS),
+    request_classes=(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, KEYED_CLASS),
     plans=(
         Plan(rate_per_s=4.0, burst=16.0),
         Plan(),
@@ -106,8 +106,10 @@
 
 def list_four_endpoints(driver: Driver) -> None:
     """Three that are warm, and one that has just started."""
-    warm = servers(4, started_at=NOW_MS - 3_600_000.0)[:3]
-    driver.give(EndpointsListed((*warm, servers(4, started_at=NOW_MS - 4000.0)[3]), is_complete=True))
+    warm = serving_endpoints(4, started_at=NOW_MS - 3_600_000.0)[:3]
+    driver.handle(
+        EndpointsListed((*warm, serving_endpoints(4, started_at=NOW_MS - 4000.0)[3]), is_complete=True)
+    )
 
 
 def leaving_limiter() -> Driver:
@@ -121,35 +123,35 @@
     def answer_all() -> None:
         nonlocal answered_calls
         while pending := [
-            s for s in enumerate(driver.sends()) if (s[0], s[1].request_id) not in answered_sends
+            s for s in enumerate(driver.sent_attempts()) if (s[0], s[1].request_id) not in answered_sends
         ]:
             place, send = pending[0]
             answered_sends.add((place, send.request_id))
             if send.endpoint == "s2":
-                driver.end(send, Outcome.ERROR, elapsed_ms=20.0, request_finished=True)
+                driver.end_attempt(send, Outcome.ERROR, elapsed_ms=20.0, request_finished=True)
             else:
-                driver.end(send, elapsed_ms=80.0, true_units=2.5)
-        for call in driver.calls()[answered_calls:]:
-            driver.give(CounterReplied(call.counter_key, Outcome.OK, max(0.0, call.amount), 3.0))
-        answered_calls = len(driver.calls())
+                driver.end_attempt(send, elapsed_ms=80.0, true_units=2.5)
+        for call in driver.counter_calls()[answered_calls:]:
+            driver.handle(CounterReplied(call.counter_key, Outcome.OK, max(0.0, call.amount), 3.0))
+        answered_calls = len(driver.counter_calls())
 
-    driver.ask("forgotten", units=4.0, plan_index=3)
+    driver.send_request("forgotten", units=4.0, plan_index=3)
     for _ in range(240):
         answer_all()
-        driver.wait(100.0)
+        driver.advance(100.0)
     for round_number in range(60):
-        driver.ask("ada", units=2.0)
-        driver.ask("grace", units=3.0, class_index=2, idempotency_key=f"swap-{round_number}")
-        driver.ask("shared", units=1.0, plan_index=2)
-        driver.ask("unmetered", plan_index=1)
-        driver.ask("slow", units=1.0, plan_index=3)
+        driver.send_request("ada", units=2.0)
+        driver.send_request("grace", units=3.0, class_index=2, idempotency_key=f"swap-{round_number}")
+        driver.send_request("shared", units=1.0, plan_index=2)
+        driver.send_request("unmetered", plan_index=1)
+        driver.send_request("slow", units=1.0, plan_index=3)
         answer_all()
-        driver.wait(100.0)
-    driver.ask("ada", units=2.0)
-    driver.ask("grace", units=4.0, class_index=2, idempotency_key="swap-60")
-    driver.ask("shared", units=2.0, plan_index=2)
-    driver.end(driver.sends()[-1], Outcome.CONNECT_FAILED, elapsed_ms=1.0)
-    driver.ask("late", units=4.0)
+        driver.advance(100.0)
+    driver.send_request("ada", units=2.0)
+    driver.send_request("grace", units=4.0, class_index=2, idempotency_key="swap-60")
+    driver.send_request("shared", units=2.0, plan_index=2)
+    driver.end_attempt(driver.sent_attempts()[-1], Outcome.CONNECT_FAILED, elapsed_ms=1.0)
+    driver.send_request("late", units=4.0)
     return driver
 
 
@@ -375,13 +377,16 @@
 
 MEMBERS = ("n0", "n1", "n2")
 ZONE_CLASS = replace(
-    SAFE,
+    IDEMPOTENT_CLASS,
     idempotency=Idempotency.IDEMPOTENCY_KEY,
     deduplication_scope=DeduplicationScope.ZONE,
     idempotency_window_ms=20_000.0,
 )
 PEER_SETTINGS = replace(
-    SETTINGS, limiter_count=3, request_classes=(SAFE, ZONE_CLASS), plans=(Plan(rate_per_s=4.0, burst=16.0),)
+    SETTINGS,
+    limiter_count=3,
+    request_classes=(IDEMPOTENT_CLASS, ZONE_CLASS),
+    plans=(Plan(rate_per_s=4.0, burst=16.0),),
 )
 FRAME_BEGINS = b"*2\r\n$5\r\nPEERS\r\n"
 
--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -221,23 +221,23 @@
 def test_evicted_tenants_leave_a_record_and_get_no_fresh_burst() -> None:
     d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
     for _ in range(6):  # ada uses all that she has
-        d.ask(sharing_limiters=1)
-        d.give(io_ended(d.sends()[-1]))
+        d.send_request(sharing_limiters=1)
+        d.handle(io_ended(d.sent_attempts()[-1]))
     left = d.limiter.tenants.tenants["ada"].bucket.balance
     assert left <= 0.0
     for number in range(MAX_TENANTS + 500):
-        ident = d.ask(f"c{number}", units=0.5, sharing_limiters=1)
-        sent = [s for s in d.sends()[-1:] if s.request_id == ident]
+        ident = d.send_request(f"c{number}", units=0.5, sharing_limiters=1)
+        sent = [s for s in d.sent_attempts()[-1:] if s.request_id == ident]
         if sent:
-            d.give(io_ended(sent[0]))
+            d.handle(io_ended(sent[0]))
     assert len(d.limiter.tenants.tenants) <= MAX_TENANTS + 8
     assert "ada" not in d.limiter.tenants.tenants
     assert d.limiter.tenants.knows("ada")
-    d.ask("ada", sharing_limiters=1)
+    d.send_request("ada", sharing_limiters=1)
     assert d.limiter.tenants.tenants["ada"].bucket.balance < 2.0  # what the rate brought meanwhile, no burst
-    for send in d.sends()[-1:]:
-        d.give(io_ended(send))
-    d.wait(30_000.0)
+    for send in d.sent_attempts()[-1:]:
+        d.handle(io_ended(send))
+    d.advance(30_000.0)
     assert not d.limiter.tenants.tenants
     assert not d.limiter.tenants.records.tables
 
@@ -251,11 +251,11 @@
 def test_housekeeping_visits_are_bounded_per_turn() -> None:
     d = Driver(replace(SETTINGS, has_counter=False, limiter_count=1))
     for number in range(3 * VISITED_TENANTS):
-        d.ask(f"c{number}", units=0.5, sharing_limiters=1)
+        d.send_request(f"c{number}", units=0.5, sharing_limiters=1)
     visited: list[int] = []
     part = d.limiter._keep_house
     d.limiter._keep_house = lambda now: (part(now), visited.append(len(d.limiter.housekeeper.unvisited)))[0]  # type: ignore
-    d.wait(1100.0)
+    d.advance(1100.0)
     assert visited[:3] == [2 * VISITED_TENANTS, VISITED_TENANTS, 0]
 
 
--- a/tests/test_class_order.py
+++ b/tests/test_class_order.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from driver import SETTINGS, Driver, of
+from driver import SETTINGS, Driver, actions_of_type
 
 from scalelb.policy.actions import RejectRequest, SendAttempt
 from scalelb.policy.events import RequestArrived
@@ -56,26 +56,26 @@
 def test_a_retry_that_would_be_late_is_refused_and_takes_no_units() -> None:
     # Seen on a quiet day: 1,081 of 8,700 units inside the quotas went to retries that were answered too late.
     drive = Driver(SITE)
-    drive.ask(expires_in_ms=1200.0)
+    drive.send_request(expires_in_ms=1200.0)
     balance = drive.limiter.tenants.tenants["ada"].bucket.balance
-    late = drive.ask(expires_in_ms=1000.0, is_retry=True)
-    assert [a.request_id for a in of(RejectRequest, drive.did)] == [late]
+    late = drive.send_request(expires_in_ms=1000.0, is_retry=True)
+    assert [a.request_id for a in actions_of_type(RejectRequest, drive.actions)] == [late]
     assert drive.limiter.tenants.tenants["ada"].bucket.balance == balance
-    drive.ask(expires_in_ms=1400.0, is_retry=True)
-    assert len(of(SendAttempt, drive.did)) == 2
+    drive.send_request(expires_in_ms=1400.0, is_retry=True)
+    assert len(actions_of_type(SendAttempt, drive.actions)) == 2
 
 
 def queue_after(drive: Driver, *asked: tuple[float, int]) -> list[float]:
     """Units of the requests that wait, in order, where (units, class) are asked for with no credit left."""
     customer_of = drive.limiter.tenants.tenants
-    drive.ask(units=1.0, expires_in_ms=1500.0)
+    drive.send_request(units=1.0, expires_in_ms=1500.0)
     customer = customer_of["ada"]
     customer.bucket.balance = -1.0
     customer.bucket.leased = 0.0
     customer.bucket.counter_balance = 16.0
     customer.bucket.counter_window = 0
     for units, request_class in asked:
-        drive.ask(units=units, class_index=request_class, expires_in_ms=1500.0)
+        drive.send_request(units=units, class_index=request_class, expires_in_ms=1500.0)
     return [request.units for request in customer.queue.requests]
 
 
@@ -142,6 +142,6 @@
 def test_requests_of_a_shared_bucket_go_in_the_order_of_arrival() -> None:
     # Guards quotas that many limiters share: with fewest units first 85 of 96 units were used, not 96.
     drive = Driver(SITE)
-    drive.ask(units=1.0, expires_in_ms=1500.0)
+    drive.send_request(units=1.0, expires_in_ms=1500.0)
     drive.limiter.tenants.tenants["ada"].bucket.is_kept_on_counter = True
     assert queue_after(drive, (3.0, 1), (1.0, 0), (2.0, 1)) == [3.0, 1.0, 2.0]
--- a/tests/test_contained_faults.py
+++ b/tests/test_contained_faults.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from driver import SETTINGS, Driver, of
+from driver import SETTINGS, Driver, actions_of_type
 from scenario import Stage
 from standin import PLAN, SITE, Backside
 from test_core import Client, ask
@@ -115,12 +115,12 @@
     )
     monkeypatch.setattr(limiter.housekeeper, "_visit", broken)
     for name in ("odd", "ada"):
-        driver.ask(name)
+        driver.send_request(name)
     monkeypatch.setattr(limiter.selector, "update_pools", fails_for(lambda now: None, lambda now: True))
     for _ in range(3):
         with pytest.raises(DecisionFaultError) as caught:
             limiter.handle(driver.now, TimerFired(HOUSEKEEPING_TIMER))
-        assert HOUSEKEEPING_TIMER in [timer.tag for timer in of(SetTimer, caught.value.actions)]
+        assert HOUSEKEEPING_TIMER in [timer.tag for timer in actions_of_type(SetTimer, caught.value.actions)]
         assert len(caught.value.errors) == 2
     assert visited == ["ada"] * 3
 
@@ -128,13 +128,13 @@
 def test_the_cycle_goes_on_after_a_fault_at_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
     driver = Driver(replace(SETTINGS, has_counter=False, plans=(replace(PLAN, burst=2.0),)))
     for name in ("ada", "ada", "eve", "eve"):
-        driver.ask(name, units=2.0)
+        driver.send_request(name, units=2.0)
         driver.now += 150.0
     driver.now = driver.limiter.scheduler.cycle_at  # of the first; the second is to be looked at later
     monkeypatch.setattr(driver.limiter, "_lend_spare_units", fails_for(lambda now: None, lambda now: True))
     with pytest.raises(DecisionFaultError) as caught:
         driver.limiter.handle(driver.now, TimerFired(SCHEDULING_TIMER))
-    assert SCHEDULING_TIMER in [timer.tag for timer in of(SetTimer, caught.value.actions)]
+    assert SCHEDULING_TIMER in [timer.tag for timer in actions_of_type(SetTimer, caught.value.actions)]
 
 
 @pytest.mark.parametrize("is_finished", [False, True])
@@ -142,8 +142,8 @@
     monkeypatch: pytest.MonkeyPatch, is_finished: bool
 ) -> None:
     driver = Driver(replace(SETTINGS, has_counter=False))
-    odd, other = driver.ask("ada"), driver.ask("eve")
-    sends = {send.request_id: send for send in driver.sends()}
+    odd, other = driver.send_request("ada"), driver.send_request("eve")
+    sends = {send.request_id: send for send in driver.sent_attempts()}
     limiter = driver.limiter
     broken = fails_for(limiter.feedback.record, lambda attempt, *_: attempt.request.request_id == odd)
     monkeypatch.setattr(limiter.feedback, "record", broken)
@@ -153,9 +153,9 @@
     ]
     with pytest.raises(DecisionFaultError) as caught:
         limiter.handle_all(driver.now, events)
-    assert of(FailRequest, caught.value.actions)[0] == FailRequest(odd)
+    assert actions_of_type(FailRequest, caught.value.actions)[0] == FailRequest(odd)
     assert odd not in limiter.requests
-    retried = [send.request_id for send in of(SendAttempt, caught.value.actions)]
+    retried = [send.request_id for send in actions_of_type(SendAttempt, caught.value.actions)]
     assert retried == ([] if is_finished else [other])
 
 
--- a/tests/test_failback.py
+++ b/tests/test_failback.py
@@ -11,7 +11,7 @@
 from random import Random
 
 import pytest
-from driver import SETTINGS, Driver, of, servers
+from driver import SETTINGS, Driver, actions_of_type, serving_endpoints
 
 from scalelb.policy import slow_start
 from scalelb.policy.actions import SendAttempt
@@ -29,7 +29,7 @@
     def __init__(self, seed: int, gateways: int = SITE.limiter_count) -> None:
         self.limiters = gateways
         self.chance, self.now, self.outcome = Random(seed), 1000.0, Outcome.OK
-        self.listed = servers(COUNT)
+        self.listed = serving_endpoints(COUNT)
         self.doors: list[Driver] = []
         self.units: dict[int, float] = {}
         self.sizes: tuple[float, ...] = (1.0, 2.0, 3.0, 4.0)
@@ -44,7 +44,7 @@
     def door(self, place: int) -> Driver:
         site = replace(SITE, limiter_index=place, limiter_count=self.limiters)
         door = Driver(site, 0, self.now, self.chance.randrange(2**30))
-        door.give(EndpointsListed(self.listed, is_complete=True))
+        door.handle(EndpointsListed(self.listed, is_complete=True))
         return door
 
     def restart_gateways(self, part: int) -> None:
@@ -56,38 +56,38 @@
     def publish(self, *infos: Endpoint) -> None:
         self.listed = infos
         for door in self.doors:
-            door.give(EndpointsListed(infos, is_complete=True))
+            door.handle(EndpointsListed(infos, is_complete=True))
 
     def start(self, alone: bool) -> None:
         """The first server starts; the others stay or are gone."""
         self.started = self.now
-        cold = replace(servers(1)[0], started_at=self.now)
-        self.publish(cold, *([] if alone else servers(COUNT)[1:]))
+        cold = replace(serving_endpoints(1)[0], started_at=self.now)
+        self.publish(cold, *([] if alone else serving_endpoints(COUNT)[1:]))
 
     def run(self, ms: float) -> None:
         end = self.now + ms
         while self.now < end:
             self.now += STEP
             for door in self.doors:
-                door.wait(STEP)
+                door.advance(STEP)
             for place, door in enumerate(self.doors):
                 if self.chance.random() < self.requests * STEP / 1000:
                     self.ask(place)
                 self.look(place, door)
             while self.ends and self.ends[0][0] <= self.now:
                 _, place, ended = self.ends.popleft()
-                self.doors[place].give(ended)
+                self.doors[place].handle(ended)
                 self.look(place, self.doors[place])
 
     def ask(self, place: int) -> None:
         door, units = self.doors[place], self.chance.choice(self.sizes)
         self.asked += 1
-        door.ids = self.asked
-        self.units[door.ids + 1] = units
-        door.ask(f"c{self.chance.randrange(5)}", units, plan_index=1)
+        door.last_request_id = self.asked
+        self.units[door.last_request_id + 1] = units
+        door.send_request(f"c{self.chance.randrange(5)}", units, plan_index=1)
 
     def look(self, place: int, door: Driver) -> None:
-        for action in of(SendAttempt, door.did):
+        for action in actions_of_type(SendAttempt, door.actions):
             self.sent.append((self.now, action.endpoint, self.units[action.request_id]))
             cold = self.started > 0 and action.endpoint == "s0"
             outcome = self.outcome if cold else Outcome.OK
@@ -101,7 +101,7 @@
                 outcome is Outcome.OK,
             )
             self.ends.append((self.now + 100.0, place, ended))
-        door.did.clear()
+        door.actions.clear()
 
     def warm(self, at: float) -> float:
         return min(
@@ -271,9 +271,11 @@
 def test_work_of_servers_that_left_tells_nothing_of_the_others() -> None:
     # Guards the guide: answers that come in after a server left would be laid to those that stayed.
     d = Driver(count=2)
-    d.ask(plan_index=1)
-    [send] = d.sends()
-    d.give(EndpointsListed(tuple(s for s in servers(2) if s.name != send.endpoint), is_complete=True))
+    d.send_request(plan_index=1)
+    [send] = d.sent_attempts()
+    d.handle(
+        EndpointsListed(tuple(s for s in serving_endpoints(2) if s.name != send.endpoint), is_complete=True)
+    )
     work = d.limiter.selector.slow_start.work_units
-    d.end(send, true_units=3.0)
+    d.end_attempt(send, true_units=3.0)
     assert d.limiter.selector.slow_start.work_units == work
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -6,13 +6,13 @@
 from dataclasses import replace
 
 import pytest
-from driver import METERED, SETTINGS, Driver
+from driver import METERED_PLAN, SETTINGS, Driver
 from fleet import Fleet
 
 from scalelb.policy import outlier_detection
 from scalelb.policy.events import EndpointsListed, Outcome
 
-OPEN = replace(METERED, rate_per_s=0.0, burst=0.0)
+OPEN = replace(METERED_PLAN, rate_per_s=0.0, burst=0.0)
 
 
 def night(backends: int, took: object, seconds: float = 30.0, rate: float = 440.0) -> Fleet:
@@ -61,7 +61,7 @@
     server.record_outcome(d.now, Outcome.OK, 100.0, 100.0, 5000.0)
     assert server.ejected_until == 0.0
     server.record_outcome(d.now, Outcome.CONNECT_FAILED, 1000.0, 100.0, 5000.0)
-    d.give(EndpointsListed((replace(server.endpoint, started_at=d.now),), is_complete=True))
+    d.handle(EndpointsListed((replace(server.endpoint, started_at=d.now),), is_complete=True))
     assert server.ejected_until == 0.0
     assert server.latency_ms == d.limiter.estimates.latency_ms
 
@@ -70,11 +70,11 @@
     # Nothing reached a server, so there is no jam that a further attempt could keep up.
     d = Driver(replace(SETTINGS, max_attempts=4), count=3)
     d.limiter.retries.budget.retries = 0.0
-    d.ask(plan_index=1)
-    d.end(d.sends()[0], Outcome.CONNECT_FAILED)
-    assert len(d.sends()) == 2
-    d.end(d.sends()[1], Outcome.TIMEOUT)
-    assert len(d.sends()) == 2
+    d.send_request(plan_index=1)
+    d.end_attempt(d.sent_attempts()[0], Outcome.CONNECT_FAILED)
+    assert len(d.sent_attempts()) == 2
+    d.end_attempt(d.sent_attempts()[1], Outcome.TIMEOUT)
+    assert len(d.sent_attempts()) == 2
 
 
 def test_many_answers_keep_a_short_memory() -> None:
@@ -117,12 +117,12 @@
     for index in range(40):
         d, free = Driver(replace(settings, limiter_index=index), count=count, seed=index), Counter[str]()
         for _ in range(100):
-            d.ask(plan_index=1)
-            server = d.sends()[-1].endpoint
+            d.send_request(plan_index=1)
+            server = d.sent_attempts()[-1].endpoint
             opened, tries = opened + (not free[server]), tries + 1
             free[server], load[server] = 1, load[server] + 1
-            d.wait(100.0)
-            d.end(d.sends()[-1])
+            d.advance(100.0)
+            d.end_attempt(d.sent_attempts()[-1])
     assert opened / tries < (0.2 if price else 0.35), opened / tries
     assert len(load) == count
     assert max(load.values()) < 5 * tries / count
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,12 +5,12 @@
 from dataclasses import replace
 
 import pytest
-from driver import METERED, SETTINGS
+from driver import METERED_PLAN, SETTINGS
 from fleet import Fleet
 
 from scalelb.policy import shared_counter
 
-PLAN = replace(METERED, rate_per_s=3.0, burst=13.0)
+PLAN = replace(METERED_PLAN, rate_per_s=3.0, burst=13.0)
 
 
 def evening(customers: int, times: float, seconds: float = 40.0, gateways: int = 40) -> Fleet:
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -7,7 +7,7 @@
 
 import orjson
 import pytest
-from driver import servers
+from driver import serving_endpoints
 from fleet import Fleet
 from hypothesis import given
 from hypothesis import strategies as st
@@ -251,7 +251,7 @@
 
 def test_bans_are_bounded_and_the_one_that_bans_nobody_gives_way() -> None:
     bans = EndpointOverrides()
-    bans.on_endpoints(servers(MAX_OVERRIDES + 2), True)
+    bans.on_endpoints(serving_endpoints(MAX_OVERRIDES + 2), True)
     names = list(bans.listed)
     assert all(bans.set_by_operator(name, True, 1.0) for name in names[:MAX_OVERRIDES])
     assert not bans.set_by_operator(names[MAX_OVERRIDES], True, 2.0)
@@ -275,7 +275,7 @@
         account = orjson.loads(orjson.dumps(export_handover(limiter, fleet.now)))
         assert apply_handover(fresh, account, fleet.now)[1] == 0
         fleet.limiters[0] = fresh
-        fleet.give(fresh, EndpointsListed(servers(60), is_complete=True))
+        fleet.give(fresh, EndpointsListed(serving_endpoints(60), is_complete=True))
     assert fleet.seen["units beyond"] == 0
     assert fleet.seen["units inside"] > 0.8 * 3 * (20 + 10 * 20)
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -82,12 +82,12 @@
     d = Driver(SETTINGS)
     kept = d.limiter.retries.budget.retries
     for _ in range(20):
-        d.ask(plan_index=1)
-        d.end(d.sends()[-1], outcome=Outcome.ERROR)
+        d.send_request(plan_index=1)
+        d.end_attempt(d.sent_attempts()[-1], outcome=Outcome.ERROR)
     assert d.limiter.retries.budget.retries <= kept
     before = d.limiter.retries.budget.retries
-    d.ask(plan_index=1)
-    d.end(d.sends()[-1])
+    d.send_request(plan_index=1)
+    d.end_attempt(d.sent_attempts()[-1])
     assert d.limiter.retries.budget.retries == pytest.approx(before + 0.2)
 
 
@@ -107,8 +107,8 @@
     assert (len(near), len(rest)) == (subsetting.MIN_SUBSET_SIZE, 40)
     for server in near:
         server.failure_ratio, server.updated_at = 0.9, d.now
-    d.ask(plan_index=1)
-    assert d.sends()[-1].endpoint not in {server.endpoint.name for server in near}
+    d.send_request(plan_index=1)
+    assert d.sent_attempts()[-1].endpoint not in {server.endpoint.name for server in near}
 
 
 class Jam(Fleet):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -36,8 +36,8 @@
 
     def __init__(self, index: int, now: float) -> None:
         self.driver = Driver(replace(SITE, limiter_index=index), count=5, now=now)
-        self.driver.ids = index * 1_000_000 + int(now) * 1000
-        self.seen = len(self.driver.did)
+        self.driver.last_request_id = index * 1_000_000 + int(now) * 1000
+        self.seen = len(self.driver.actions)
         self.asked: dict[int, tuple[int, float]] = {}
         self.out: dict[int, SendAttempt] = {}
         self.tries: Counter[int] = Counter()
@@ -48,7 +48,7 @@
 
     def watch(self) -> None:
         """Check the newest actions."""
-        for action in self.driver.did[self.seen :]:
+        for action in self.driver.actions[self.seen :]:
             match action:
                 case SendAttempt():
                     effect = SITE.request_classes[self.asked[action.request_id][0]].idempotency
@@ -70,19 +70,19 @@
                     assert isinstance(action, FailRequest) or safe or action.request_id not in self.ran
                 case AddToCounter():
                     self.calls.append(action)
-        self.seen = len(self.driver.did)
+        self.seen = len(self.driver.actions)
 
     def ask(self, chance: Random) -> None:
         kind, units = chance.randrange(3), float(chance.randint(1, 4))
-        self.asked[self.driver.ids + 1] = (kind, units)
+        self.asked[self.driver.last_request_id + 1] = (kind, units)
         expires = chance.choice([4.0, 300.0, 3000.0])
-        self.driver.ask(chance.choice("ab"), units, class_index=kind, expires_in_ms=expires)
+        self.driver.send_request(chance.choice("ab"), units, class_index=kind, expires_in_ms=expires)
 
     def list_server(self, info: Endpoint) -> None:
         self.shut = (
             self.shut - {info.name} if info.state is EndpointState.SERVING else self.shut | {info.name}
         )
-        self.driver.give(EndpointsListed((info,), is_complete=False))
+        self.driver.handle(EndpointsListed((info,), is_complete=False))
 
     def end(self, chance: Random) -> None:
         if not self.out:
@@ -96,7 +96,7 @@
             self.ran.add(send.request_id)
         attempt = self.tries[send.request_id] - 1
         report = AttemptEnded(send.request_id, attempt, send.endpoint, outcome, 50.0, final, 2.0 * final)
-        self.driver.give(report)
+        self.driver.handle(report)
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
@@ -111,13 +111,15 @@
             stores[name] = min(PLAN.ceiling_burst, stores[name] + PLAN.ceiling_rate_per_s / 100)
         for place, door in enumerate(doors):
             door.driver.now = now - 10.0
-            steps: list[Callable[[], object]] = [partial(door.driver.wait, 10.0)]
+            steps: list[Callable[[], object]] = [partial(door.driver.advance, 10.0)]
             steps += [partial(door.ask, chance)] * chance.randint(0, 3)
             steps += [partial(door.end, chance)] * chance.randint(0, 2)
             if door.calls and chance.random() < 0.5:
                 call, outcome = door.calls.pop(0), chance.choice(ANY)
                 total = chance.choice([0.0, 5.0, 50.0])
-                steps.append(partial(door.driver.give, CounterReplied(call.counter_key, outcome, total, 2.0)))
+                steps.append(
+                    partial(door.driver.handle, CounterReplied(call.counter_key, outcome, total, 2.0))
+                )
             if chance.random() < 0.02:
                 name, state = f"s{chance.randrange(5)}", chance.choice(list(EndpointState))
                 steps.append(partial(door.list_server, Endpoint(name, state)))
@@ -133,7 +135,7 @@
             if chance.random() < 0.002:
                 doors[place] = Witness(place, now)  # killed, and back with nothing
     for door in doors:
-        door.driver.wait(3000.0)
+        door.driver.advance(3000.0)
         door.watch()
         owed = set(door.asked) - set(door.answers) - set(door.out)
         assert not owed, "no answer in time"
