--- a/scalelb/policy/admission.py
+++ b/scalelb/policy/admission.py
@@ -106,7 +106,7 @@
         grants.
         """
         bucket = request.tenant.bucket
-        if not bucket.is_kept_on_counter or bucket.balance >= request.units:
+        if not bucket.is_stored_on_counter or bucket.balance >= request.units:
             return True
         if self.is_charged_elsewhere(request, now):
             return True
--- a/scalelb/policy/counter_lease.py
+++ b/scalelb/policy/counter_lease.py
@@ -50,43 +50,43 @@
     def renew(self, tenant: Tenant, now: float, has_demand: bool) -> AddToCounter | None:
         """Return a counter call for a lease or a report; `None` if no call is due.
 
-        A lease is due when the units on hand cover less than the queue and one more request. A report is due
+        A lease is due when the local units cover less than the queue and one more request. A report is due
         when enough units were granted without a call. For a bucket on the counter only the units that the
-        queue needs are leased: while nothing is queued, the units on hand are marked for return first, even
-        if no call follows.
+        queue needs are leased: while nothing is queued, the local units are marked for return first, even if
+        no call follows.
         """
         bucket = tenant.bucket
-        if bucket.is_kept_on_counter and not tenant.queue.requests and self.is_counter_available():
-            bucket.return_on_hand()
-        spare = bucket.on_hand() - tenant.queue.units
-        is_covered = not has_demand or spare >= (0.0 if bucket.is_kept_on_counter else bucket.mean_units)
+        if bucket.is_stored_on_counter and not tenant.queue.requests and self.is_counter_available():
+            bucket.return_local_units()
+        spare = bucket.local_units() - tenant.queue.units
+        is_covered = not has_demand or spare >= (0.0 if bucket.is_stored_on_counter else bucket.mean_units)
         if not bucket.plan.rate_per_s or (is_covered and not self._is_report_due(bucket)):
             return None
-        wanted = 0.0 if is_covered else self._wanted_units(tenant)
+        requested = 0.0 if is_covered else self._units_to_lease(tenant)
         if bucket.counter_window >= 0:
             obtainable = min(bucket.capacity(), bucket.projected_counter_balance(now))
             obtainable += bucket.plan.rate_per_s * self.max_wait_ms / 1000
-            wanted = max(0.0, min(wanted, obtainable))
+            requested = max(0.0, min(requested, obtainable))
             min_units = bucket.mean_units
-            if bucket.is_kept_on_counter:
-                min_units = min(min_units, tenant.queue.units - bucket.on_hand())
-            if wanted < min_units and not self._is_report_due(bucket):
+            if bucket.is_stored_on_counter:
+                min_units = min(min_units, tenant.queue.units - bucket.local_units())
+            if requested < min_units and not self._is_report_due(bucket):
                 return None
-        return self.call(tenant, now, wanted)
+        return self.call(tenant, now, requested)
 
     def _is_report_due(self, bucket: TokenBucket) -> bool:
-        limit = MAX_UNREPORTED_UNITS if bucket.is_kept_on_counter else bucket.mean_units
+        limit = MAX_UNREPORTED_UNITS if bucket.is_stored_on_counter else bucket.mean_units
         return abs(bucket.unreported) >= limit
 
-    def _wanted_units(self, tenant: Tenant) -> float:
+    def _units_to_lease(self, tenant: Tenant) -> float:
         """Return the units that the queue lacks, plus some for expected demand."""
         bucket = tenant.bucket
         extra = 0.0
-        if not bucket.is_kept_on_counter:
+        if not bucket.is_stored_on_counter:
             extra = max(LEASE_REQUESTS * bucket.mean_units, tenant.demand_per_s * LEASE_DEMAND_S)
         share_of_capacity = bucket.capacity() / bucket.sharing_limiters
         extra = min(extra, max(share_of_capacity, bucket.mean_units))
-        return max(0.0, tenant.queue.units + extra - bucket.on_hand())
+        return max(0.0, tenant.queue.units + extra - bucket.local_units())
 
     def call(self, tenant: Tenant, now: float, units: float) -> AddToCounter | None:
         """Return a call that reports the unreported units and requests `units`; `None` if no call is allowed.
@@ -100,8 +100,10 @@
         if bucket.has_call_in_flight or now < self.contention.next_call_at:
             return None
         # Only the limiters that share a bucket on the counter have to agree on the phase of its windows.
-        window, began_at = shared_counter.window_at(bucket.tenant if bucket.is_kept_on_counter else "", now)
-        bucket.begin_window(window, began_at)
+        window, started_at = shared_counter.window_at(
+            bucket.tenant if bucket.is_stored_on_counter else "", now
+        )
+        bucket.begin_window(window, started_at)
         bucket.call_amount = bucket.unreported + units
         bucket.requested = units
         bucket.balance += min(0.0, units)
@@ -175,7 +177,7 @@
         balance = bucket.leased_balance_at_answer(now, used_by_others, self_credited)
         taken = bucket.call_amount - self_credited
         capacity = bucket.capacity()
-        if bucket.is_kept_on_counter:
+        if bucket.is_stored_on_counter:
             balance = shared_counter.counter_balance_at_answer(bucket, now, total)
             taken = bucket.requested
         bucket.counter_balance = min(capacity, balance) - taken
@@ -198,7 +200,7 @@
         bucket.unreported -= returned
         wait = max(0.0, -bucket.counter_balance - returned - bucket.leased)
         bucket.lease_credited_from = now + 1000 * wait / bucket.plan.rate_per_s
-        if bucket.is_kept_on_counter:
+        if bucket.is_stored_on_counter:
             bucket.counter_balance += returned
 
     def next_call_due_at(self, tenant: Tenant, now: float, missing_units: float, cycle_ms: float) -> float:
--- a/scalelb/policy/handover.py
+++ b/scalelb/policy/handover.py
@@ -1,7 +1,7 @@
 """Handover of state from one incarnation of a limiter to its successor while it serves requests.  No I/O.
 
 After the export the predecessor accepts no new requests. For each tenant it keeps the units that its queue
-needs and hands over the rest, so that each unit on hand is spent by only one of the two incarnations. It also
+needs and hands over the rest, so that each granted unit is spent by only one of the two incarnations. It also
 hands over its endpoint statistics and the whole slow-start budget.
 
 A handover is validated like untrusted input: each number must be within its range, and malformed entries are
@@ -155,7 +155,7 @@
     """
     bucket = tenant.bucket
     tenant.credit(now, limiter.leases.refills_itself())
-    needed = 0.0 if bucket.is_kept_on_counter else tenant.queue.units
+    needed = 0.0 if bucket.is_stored_on_counter else tenant.queue.units
     retained = min(bucket.balance, needed)
     reported = 0.0
     if bucket.has_call_in_flight and not bucket.is_reading_previous_window:
@@ -168,7 +168,7 @@
     bucket.leased = needed - retained
     bucket.lease_credited_from = now
     bucket.unreported = reported
-    if not bucket.is_kept_on_counter:
+    if not bucket.is_stored_on_counter:
         # Otherwise both incarnations would refill the bucket while the counter is unavailable.
         bucket.plan = replace(bucket.plan, burst=0.0)
     in_flight = tenant.attempts_in_flight + len(tenant.queue.requests)
@@ -187,13 +187,15 @@
     if not Range(now - MAX_AGE_MS, now + MAX_CLOCK_SKEW_MS).contains(handover.get("at")):
         return HandoverResult(0, 1)
     given_way_until: Any = handover.get("given_way_until")
-    parts = [_apply_figures(limiter, handover.get("figures"), now)]
+    results = [_apply_figures(limiter, handover.get("figures"), now)]
     if Range(now, now + MAX_REFILL_MS).contains(given_way_until):
         limiter.tenants.records.unknown_start_empty_until = float(given_way_until)
-    parts.append(_apply_tenants(limiter, handover.get("customers"), now))
-    parts.append(_apply_endpoints(limiter, handover.get("servers"), now))
-    parts.append(_apply_keys(limiter, handover.get("keys"), now))
-    return HandoverResult(sum(part.applied for part in parts), sum(part.malformed for part in parts))
+    results.append(_apply_tenants(limiter, handover.get("customers"), now))
+    results.append(_apply_endpoints(limiter, handover.get("servers"), now))
+    results.append(_apply_keys(limiter, handover.get("keys"), now))
+    return HandoverResult(
+        sum(result.applied for result in results), sum(result.malformed for result in results)
+    )
 
 
 def _apply_figures(limiter: Limiter, figures: Any, now: float) -> HandoverResult:
--- a/scalelb/policy/limiter.py
+++ b/scalelb/policy/limiter.py
@@ -373,7 +373,7 @@
         if next_call is not None:
             self.outbox.add(next_call)
             return
-        if tenant.bucket.is_kept_on_counter:
+        if tenant.bucket.is_stored_on_counter:
             self._send_covered(tenant, now)
             self._reject_overdue(tenant, now)
             self._renew_lease(tenant, now, has_demand=False)
--- a/scalelb/policy/queue_times.py
+++ b/scalelb/policy/queue_times.py
@@ -43,7 +43,7 @@
         with what is queued ahead of them.  Retries are never among them."""
         bucket = tenant.bucket
         units_ahead = 0.0
-        if not bucket.is_kept_on_counter:
+        if not bucket.is_stored_on_counter:
             available = bucket.available_here(now, self.leases.is_counter_available())
             units_ahead = -bucket.balance - max(bucket.leased, available)
         attempts_ahead = tenant.attempts_in_flight
@@ -74,7 +74,7 @@
         share of the rate once the counter has been unavailable for long.
         """
         bucket = request.tenant.bucket
-        if not bucket.is_kept_on_counter:
+        if not bucket.is_stored_on_counter:
             max_wait_ms = MAX_QUEUE_WAIT_RATIO * request.request_class.latency_objective_ms
             return max(bucket.plan.rate_per_s * max_wait_ms / 1000, bucket.mean_units)
         latest_at = self.latest_send_at(request)
--- a/scalelb/policy/request.py
+++ b/scalelb/policy/request.py
@@ -62,7 +62,7 @@
             units=units,
             due_at=now + min(objective_left_ms, event.expires_in_ms),
             arrived_at=now,
-            rank=(precedence, 0.0 if tenant.bucket.is_kept_on_counter else -units),
+            rank=(precedence, 0.0 if tenant.bucket.is_stored_on_counter else -units),
             listener_bit=1 << event.listener,
             idempotency_key=event.idempotency_key,
             is_admission_only=event.admission_only,
--- a/scalelb/policy/settings.py
+++ b/scalelb/policy/settings.py
@@ -119,7 +119,7 @@
     def class_precedences(self) -> tuple[float, ...]:
         """The precedence of each class when units or endpoints are scarce: its weight, or 1 for all classes.
 
-        A unit spent on the class of highest weight instead of the lowest gains `overall_weight` times the
+        A unit spent on the class of highest weight rather than the lowest gains `overall_weight` times the
         difference in weights, relative to the mean weight. While the class of lowest weight is the worst
         class, it costs `worst_class_weight` times the number of classes. Demand is assumed to be equal in all
         classes, as the settings do not specify it.
--- a/scalelb/policy/shared_counter.py
+++ b/scalelb/policy/shared_counter.py
@@ -4,7 +4,7 @@
 burst. Then units leased by one limiter are lost to the others, and no limiter can derive the balance from its
 own calls: between two of them the other limiters have taken units and the rate has refilled the bucket. The
 balance is therefore derived from a number of the counter. Each key of the counter stands for one tenant and
-one time window. Its total is the number of units taken since the window began, and `burst + rate x time -
+one time window. Its total is the number of units taken since the window started, and `burst + rate x time -
 total` is the balance, which is the same at every limiter. When the bucket has overflowed, the limiter that
 detects it adds the overflow to the total.
 """
@@ -31,7 +31,7 @@
     return max(1.0, settings.max_units / 2)
 
 
-def is_kept_on_counter(plan: Plan, sharing_limiters: int, settings: Settings) -> bool:
+def is_stored_on_counter(plan: Plan, sharing_limiters: int, settings: Settings) -> bool:
     """Whether the tenant's bucket is stored on the counter: one mean request at each limiter would empty it.
 
     Depends only on the settings and the number of sharing limiters, so that all limiters decide the same.
@@ -42,7 +42,7 @@
 
 
 def window_at(tenant: str, now: float) -> tuple[int, float]:
-    """Return the number of the tenant's window at `now` (ms) and the time at which it began.
+    """Return the number of the tenant's window at `now` (ms) and the time (ms) at which it started.
 
     Each tenant's windows have their own phase: otherwise all windows would change at the same time and
     overload the counter.
@@ -52,7 +52,7 @@
 
 
 def window_start(tenant: str, number: int) -> float:
-    """Return the time (ms) at which a tenant's window begins."""
+    """Return the time (ms) at which a tenant's window starts."""
     return number * WINDOW_MS - _phase_ms(tenant)
 
 
@@ -70,12 +70,12 @@
     return plan.burst - min(MAX_UNGRANTED_UNITS, plan.burst * MAX_UNGRANTED_RATIO)
 
 
-def units_left(plan: Plan, window_began_at: float, now: float, total: float) -> float:
-    """Return the units in the bucket at `now` if `total` units were taken since the window began.
+def remaining_units(plan: Plan, window_started_at: float, now: float, total: float) -> float:
+    """Return the units in the bucket at `now` if `total` units were taken since the window started.
 
     A result above `grantable_burst` means that the bucket has overflowed.
     """
-    elapsed_ms = max(0.0, now - window_began_at)
+    elapsed_ms = max(0.0, now - window_started_at)
     return grantable_burst(plan) + plan.rate_per_s * elapsed_ms / 1000 - total
 
 
@@ -83,7 +83,7 @@
     """Whether no other limiter has added to this window yet, so that the previous one must be read first."""
     is_unread = bucket.is_window_unread
     bucket.is_window_unread = False
-    if is_unread and bucket.is_kept_on_counter and total <= bucket.call_amount + UNITS_TOLERANCE:
+    if is_unread and bucket.is_stored_on_counter and total <= bucket.call_amount + UNITS_TOLERANCE:
         bucket.is_reading_previous_window = True
         bucket.counter_total = total
         return True
@@ -97,8 +97,8 @@
     would grant another burst.
     """
     bucket.is_reading_previous_window = False
-    began_at = window_start(bucket.tenant, bucket.counter_window)
-    remaining = units_left(bucket.plan, began_at - WINDOW_MS, began_at, previous_total)
+    started_at = window_start(bucket.tenant, bucket.counter_window)
+    remaining = remaining_units(bucket.plan, started_at - WINDOW_MS, started_at, previous_total)
     missing = max(0.0, grantable_burst(bucket.plan) - remaining)
     bucket.unreported += missing
     return bucket.counter_total + missing
@@ -110,14 +110,14 @@
     The units of the same call that report grants, return units or remove an overflow are included; only the
     requested units are not.
     """
-    began_at = window_start(bucket.tenant, bucket.counter_window)
-    balance = units_left(bucket.plan, began_at, now, total) + bucket.requested
+    started_at = window_start(bucket.tenant, bucket.counter_window)
+    balance = remaining_units(bucket.plan, started_at, now, total) + bucket.requested
     burst = grantable_burst(bucket.plan)
     overflow = bucket.overflow
     bucket.overflow = 0.0
-    # Two limiters that detect the same overflow both remove it; early in a window that is everything that the
-    # rate has added since it began.  The limiter that finds the bucket lower than it left it restores its own
-    # part; otherwise the tenant would lose these units.
+    # Two limiters that detect the same overflow both remove it; early in a window it is all that the rate has
+    # added since the window started.  A limiter that then finds the balance too low restores its own part;
+    # otherwise the tenant would lose these units.
     if overflow and burst - balance > overflow / 2:
         bucket.unreported -= overflow
         return burst
--- a/scalelb/policy/tenant_table.py
+++ b/scalelb/policy/tenant_table.py
@@ -37,13 +37,13 @@
         """
         tenant = Tenant.create(event, self.settings, now, uptime_ms, mean_units)
         bucket = tenant.bucket
-        bucket.is_kept_on_counter = shared_counter.is_kept_on_counter(
+        bucket.is_stored_on_counter = shared_counter.is_stored_on_counter(
             bucket.plan, bucket.sharing_limiters, self.settings
         )
         self.tenants[event.tenant] = tenant
         if now >= self.records.unknown_start_empty_until:
             bucket.counter_balance = bucket.capacity()
-        if not bucket.is_kept_on_counter:
+        if not bucket.is_stored_on_counter:
             bucket.balance = bucket.counter_balance / bucket.sharing_limiters
             bucket.unreported = bucket.balance
         record = self.records.take(event.tenant, now)
--- a/scalelb/policy/token_bucket.py
+++ b/scalelb/policy/token_bucket.py
@@ -29,7 +29,7 @@
     mean_units: float  # running average of the true cost of this tenant's requests
     created_at: float
     ceiling_balance: float  # this limiter's share of the ceiling
-    is_kept_on_counter: bool = False  # whether the counter stores the balance: see `shared_counter`
+    is_stored_on_counter: bool = False  # whether the counter stores the balance: see `shared_counter`
 
     # Units that this limiter may grant.
     balance: float = 0.0
@@ -64,8 +64,8 @@
         self.ceiling_credited_at = self.created_at
         self.counter_balance_at = self.created_at
 
-    def on_hand(self) -> float:
-        """Return the units that are granted to this limiter and not yet used."""
+    def local_units(self) -> float:
+        """Return the units that are granted to this limiter and not yet used, as balance or as lease."""
         return self.balance + self.leased
 
     def capacity(self) -> float:
@@ -74,7 +74,7 @@
         A bucket on the counter has no overdrafts, because each request waits for the counter's answer.
         """
         burst = self.plan.burst
-        if self.is_kept_on_counter:
+        if self.is_stored_on_counter:
             return burst
         reserve = OVERDRAFT_RESERVE_REQUESTS * (self.sharing_limiters + 1) * self.mean_units
         return burst - min(reserve, MAX_OVERDRAFT_RESERVE_RATIO * burst)
@@ -105,13 +105,13 @@
         self.ceiling_balance = min(plan.ceiling_burst / self.sharing_limiters, self.ceiling_balance + refill)
         self.ceiling_credited_at = now
 
-    def return_on_hand(self) -> None:
-        """Return the units on hand to the shared bucket with the next call."""
-        on_hand = self.on_hand()
+    def return_local_units(self) -> None:
+        """Return the local units to the shared bucket with the next call."""
+        local_units = self.local_units()
         self.balance = 0.0
         self.leased = 0.0
-        self.unreported -= on_hand
-        self.counter_balance += on_hand
+        self.unreported -= local_units
+        self.counter_balance += local_units
 
     # Estimates from the counter's last answer
 
@@ -130,16 +130,16 @@
         """Return this limiter's part of `available_to_all`; 0 while the counter is unavailable."""
         if not is_counter_available:
             return 0.0
-        return self.available_to_all(now) / (1 if self.is_kept_on_counter else self.sharing_limiters)
+        return self.available_to_all(now) / (1 if self.is_stored_on_counter else self.sharing_limiters)
 
     def obtainable_until(self, at: float) -> float:
         """Return the maximum units that this limiter can obtain from the shared bucket until `at`."""
-        return self.on_hand() + min(self.plan.burst, self.projected_counter_balance(at))
+        return self.local_units() + min(self.plan.burst, self.projected_counter_balance(at))
 
     def obtainable_without_counter(self, now: float, at: float) -> float:
         """Return the same maximum while the counter is unavailable: only this limiter's share of the rate is
         added."""
-        return self.on_hand() + self.plan.rate_per_s * (at - now) / 1000 / self.sharing_limiters
+        return self.local_units() + self.plan.rate_per_s * (at - now) / 1000 / self.sharing_limiters
 
     def leased_balance_at_answer(self, at: float, used_by_others: float, self_credited: float) -> float:
         """Return the units in a leased bucket at the time (ms) of the counter's answer, before this call's
@@ -163,17 +163,17 @@
         full = min(self.capacity(), refilled)
         return min(refilled - recent, max(full - recent, min(0.0, full)))
 
-    def begin_window(self, window: int, began_at: float) -> None:
+    def begin_window(self, window: int, started_at: float) -> None:
         """Switch to the counter's current window.
 
         A new window begins with a total of 0 and with the units that the bucket had by the last answer.
         """
         if window == self.counter_window:
             return
-        self.counter_balance = min(self.capacity(), self.projected_counter_balance(began_at))
+        self.counter_balance = min(self.capacity(), self.projected_counter_balance(started_at))
         self.counter_window = window
         self.counter_total = 0.0
-        self.counter_balance_at = began_at
+        self.counter_balance_at = started_at
         self.is_window_unread = True
         self.is_reading_previous_window = False
 
@@ -183,18 +183,18 @@
         """Return the record that is stored after the bucket's tenant is evicted.
 
         The bucket is full again when the rate has refilled the missing units. Its balance counts as the lower
-        of two estimates: what the counter's last answer leaves, and the units on hand here times the number
+        of two estimates: the units left by the counter's last answer, and the local units times the number
         of limiters. For a bucket on the counter only the first counts, except while the counter is
         unavailable: its last answer does not include the units credited since.
         """
         plan = self.plan
         capacity = self.capacity()
         remaining = min(capacity, self.projected_counter_balance(now)) - max(0.0, self.unreported)
-        on_hand_everywhere = self.on_hand() * self.sharing_limiters
+        units_of_all_limiters = self.local_units() * self.sharing_limiters
         balance = (
             remaining
-            if self.is_kept_on_counter and is_counter_available
-            else min(remaining, on_hand_everywhere)
+            if self.is_stored_on_counter and is_counter_available
+            else min(remaining, units_of_all_limiters)
         )
         missing = capacity - balance
         full_at = now + 1000 * max(0.0, missing) / plan.rate_per_s if plan.rate_per_s else now
@@ -202,7 +202,13 @@
             missing_ceiling = plan.ceiling_burst - self.ceiling_balance * self.sharing_limiters
             full_at = max(full_at, now + 1000 * max(0.0, missing_ceiling) / plan.ceiling_rate_per_s)
         return TenantRecord(
-            self.on_hand(), self.unreported, remaining, self.counter_total, self.counter_window, now, full_at
+            self.local_units(),
+            self.unreported,
+            remaining,
+            self.counter_total,
+            self.counter_window,
+            now,
+            full_at,
         )
 
     def restore(self, record: TenantRecord) -> None:
--- a/tests/test_class_order.py
+++ b/tests/test_class_order.py
@@ -144,5 +144,5 @@
     # Failure with quotas that many limiters share: with fewest units first only 85 of 96 units were used.
     driver = Driver(TWO_CLASSES)
     driver.send_request(units=1.0, expires_in_ms=1500.0)
-    driver.limiter.tenants.tenants["ada"].bucket.is_kept_on_counter = True
+    driver.limiter.tenants.tenants["ada"].bucket.is_stored_on_counter = True
     assert queued_units(driver, (3.0, 1), (1.0, 0), (2.0, 1)) == [3.0, 1.0, 2.0]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -131,7 +131,7 @@
     driver = Driver()
     driver.send_request("ada", units=4.0)
     tenant = driver.limiter.tenants.tenants["ada"]
-    added, requested, on_hand = (
+    added, requested, local_units = (
         driver.counter_calls()[-1].amount,
         tenant.bucket.requested,
         tenant.bucket.balance + tenant.bucket.leased,
@@ -146,7 +146,7 @@
         0.0,
         0.0,
     )
-    assert 0 < tenant.bucket.balance + tenant.bucket.leased <= on_hand + requested
+    assert 0 < tenant.bucket.balance + tenant.bucket.leased <= local_units + requested
     before = tenant.bucket.counter_balance
     tenant.last_request_at = driver.now
     driver.limiter.leases.call(tenant, driver.now, 2.0)
@@ -561,7 +561,7 @@
     reply_to_last_call(driver, 2.0)
     reply_to_last_call(driver, 0.0)
     tenant = driver.limiter.tenants.tenants["ada"]
-    full = shared_counter.units_left(
+    full = shared_counter.remaining_units(
         METERED_PLAN, shared_counter.window_start("ada", tenant.bucket.counter_window), driver.now, 0.0
     )
     driver.send_request("ada", sharing_limiters=200)
--- a/tests/test_shared_counter.py
+++ b/tests/test_ledger.py
@@ -120,9 +120,9 @@
 
 
 def test_only_buckets_of_many_limiters_are_stored_on_the_counter() -> None:
-    assert not shared_counter.is_kept_on_counter(replace(PLAN, burst=13.0), 3, SETTINGS)
-    assert shared_counter.is_kept_on_counter(replace(PLAN, burst=13.0), 30, SETTINGS)
-    assert not shared_counter.is_kept_on_counter(
+    assert not shared_counter.is_stored_on_counter(replace(PLAN, burst=13.0), 3, SETTINGS)
+    assert shared_counter.is_stored_on_counter(replace(PLAN, burst=13.0), 30, SETTINGS)
+    assert not shared_counter.is_stored_on_counter(
         replace(PLAN, burst=13.0), 30, replace(SETTINGS, has_counter=False)
     )
 
@@ -131,13 +131,13 @@
 def test_windows_contain_their_time_and_differ_between_tenants(now: float) -> None:
     starts = set()
     for tenant in range(50):
-        window, began_at = shared_counter.window_at(f"c{tenant}", now)
-        assert began_at <= now < began_at + shared_counter.WINDOW_MS
-        assert shared_counter.window_at(f"c{tenant}", began_at + shared_counter.WINDOW_MS) == (
+        window, started_at = shared_counter.window_at(f"c{tenant}", now)
+        assert started_at <= now < started_at + shared_counter.WINDOW_MS
+        assert shared_counter.window_at(f"c{tenant}", started_at + shared_counter.WINDOW_MS) == (
             window + 1,
-            began_at + shared_counter.WINDOW_MS,
+            started_at + shared_counter.WINDOW_MS,
         )
-        starts.add(began_at)
+        starts.add(started_at)
     assert len(starts) > 45
 
 
@@ -154,9 +154,9 @@
     fleet.run(100.0)
     assert fleet.seen["refused"] == 0
     assert fleet.seen["units inside"] == 10
-    window, began_at = shared_counter.window_at("c0", fleet.now)
-    balance = shared_counter.units_left(
-        PLAN, began_at, fleet.now, fleet.counted[shared_counter.counter_key("c0", window)]
+    window, started_at = shared_counter.window_at("c0", fleet.now)
+    balance = shared_counter.remaining_units(
+        PLAN, started_at, fleet.now, fleet.counted[shared_counter.counter_key("c0", window)]
     )
     assert abs(balance - fleet.store("c0", PLAN)) < PLAN.burst / 2
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -605,7 +605,7 @@
     assert all(
         c.bucket.plan.burst == 0.0
         for c in old.core.limiter.tenants.tenants.values()
-        if not c.bucket.is_kept_on_counter
+        if not c.bucket.is_stored_on_counter
     )
     assert old.core.limiter.tenants.records.unknown_start_empty_until == float("inf")
 
