--- a/scalelb/lab/standins.py
+++ b/scalelb/lab/standins.py
@@ -140,19 +140,21 @@
 
     def take(self, session: DeckSession, call: resp.Call) -> Job:
         """A whole command has come."""
-        work_ms = call.units * self.work_ms.get(call.kind.encode(), 1.0)
-        job = Job(session, call.ident, work_ms, call.units)
+        work_ms = call.units * self.work_ms.get(call.class_name.encode(), 1.0)
+        job = Job(session, call.request_id, work_ms, call.units)
         self.tally["taken"] += 1
-        self.note("take", job, customer=f"{int(call.customer, 16):016x}", units=call.units, key=call.key)
+        self.note(
+            "take", job, customer=f"{int(call.tenant, 16):016x}", units=call.units, key=call.idempotency_key
+        )
         if self.drains and self.reactor.seconds() - self.drained_at > 1.0:
             self.tally["after_drain"] += 1
-        if (earlier := self.inside.get(call.ident)) is not None:
+        if (earlier := self.inside.get(call.request_id)) is not None:
             self.reactor.callLater(CLOSE_S, self._twice, earlier)
         if self.running < self.spec.cores:
-            self.inside[call.ident] = job
+            self.inside[call.request_id] = job
             self._begin(job)
         elif len(self.waiting) < self.spec.room and not self.drains:
-            self.inside[call.ident] = job
+            self.inside[call.request_id] = job
             self.waiting.append(job)
         else:
             self.tally["busy"] += 1
@@ -205,7 +207,7 @@
         """Bytes of a limiter."""
         try:
             for command in self.reader.feed(data):
-                if command.name in (resp.SAFE, resp.OTHER):
+                if command.name in (resp.CALL_GET, resp.CALL_POST):
                     self.order.append(self.deck.take(self, resp.Call.read(command)))
                 else:
                     answer = resp.PONG if command.name == b"PING" else resp.error("unknown command")
@@ -256,7 +258,7 @@
     def on_message_complete(self) -> None:
         """A request is whole."""
         url, self.url = self.url, b""
-        self.take(self.parser.get_method().decode(), url.decode("ascii", "replace"), True)
+        self.handle_request(self.parser.get_method().decode(), url.decode("ascii", "replace"), True)
 
 
 class Counter(Factory):
--- a/scalelb/middleware/asgi.py
+++ b/scalelb/middleware/asgi.py
@@ -54,17 +54,17 @@
         except MalformedError as error:
             await _answer(send, 400, str(error))
             return
-        deadline = self.host.settings.request_classes[asked.kind].deadline_ms
+        deadline = self.host.settings.request_classes[asked.class_index].deadline_ms
         incoming = IncomingRequest(
-            tenant=asked.customer,
-            plan_index=asked.plan,
-            class_index=asked.kind,
-            expires_in_ms=deadline if asked.expires_ms is None else min(deadline, asked.expires_ms),
+            tenant=asked.tenant,
+            plan_index=asked.plan_index,
+            class_index=asked.class_index,
+            expires_in_ms=deadline if asked.timeout_ms is None else min(deadline, asked.timeout_ms),
             units=asked.units,
-            sharing_limiters=asked.spread,
-            first_limiter=asked.first,
-            is_retry=asked.retry,
-            idempotency_key=asked.key,
+            sharing_limiters=asked.sharing_limiters,
+            first_limiter=asked.first_limiter,
+            is_retry=asked.is_retry,
+            idempotency_key=asked.idempotency_key,
             client_address=str((scope.get("client") or ("",))[0]),
         )
         asking = admit(self.host.core, incoming)
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -85,7 +85,7 @@
                 )
 
         timeout_at = self.clock() + timeout_ms
-        class_index = self.kinds[held.call.kind]
+        class_index = self.kinds[held.call.class_name]
 
         def write() -> bytes | None:
             if not session.there():  # nobody reads a session that is paused: this is how its end is seen
@@ -93,7 +93,7 @@
                 self.core.cancel(request)
             if request.attempt_number != attempt_number or not self.core.may_begin(request):
                 return None
-            return held.call.passed_on(int(timeout_at - self.clock()))
+            return held.call.forwarded_command(int(timeout_at - self.clock()))
 
         def left() -> None:
             self.metrics.attempts[class_index] += 1
--- a/scalelb/protocol/agentcheck.py
+++ b/scalelb/protocol/agentcheck.py
@@ -13,7 +13,7 @@
     DRAINING = "draining"
 
 
-def line(status: Status, weight: float) -> bytes:
+def agent_check_line(status: Status, weight: float) -> bytes:
     """`up 75%` with the part of the requests that is let in; `drain`; or `down`."""
     if status is Status.READY:
         return b"up %d%%\n" % max(1, min(100, round(100 * weight)))
--- a/scalelb/protocol/headers.py
+++ b/scalelb/protocol/headers.py
@@ -45,21 +45,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestHeaders:
     """A request for admission."""
 
-    customer: str
-    kind: int
-    plan: int
+    tenant: str
+    class_index: int
+    plan_index: int
     units: float
-    spread: int
-    first: int
-    key: str
-    retry: bool
-    expires_ms: float | None
+    sharing_limiters: int
+    first_limiter: int
+    idempotency_key: str
+    is_retry: bool
+    timeout_ms: float | None
 
 
-def read_headers(headers: Mapping[str, str], kinds: Mapping[str, int], plans: Mapping[str, int]) -> Asked:
+def read_headers(
+    headers: Mapping[str, str], kinds: Mapping[str, int], plans: Mapping[str, int]
+) -> RequestHeaders:
     """Check the headers (names in small letters); the first fault is named."""
     kind, plan = _one(headers, "x-priority-class", kinds), _one(headers, "x-plan", plans)
     quota = {"units": "1", "spread": "1", "first": "0"}
@@ -76,16 +78,16 @@
     key = headers.get("idempotency-key", "")
     if len(key) > KEY_MOST:
         raise MalformedError("idempotency-key: too long")
-    return Asked(
-        customer=read_customer(headers.get("x-customer", "")),
-        kind=kind,
-        plan=plan,
+    return RequestHeaders(
+        tenant=read_customer(headers.get("x-customer", "")),
+        class_index=kind,
+        plan_index=plan,
         units=float(units),
-        spread=spread,
-        first=first,
-        key=key,
-        retry=headers.get("x-retried") == "1",
-        expires_ms=_timeout(headers.get("x-timeout", "")),
+        sharing_limiters=spread,
+        first_limiter=first,
+        idempotency_key=key,
+        is_retry=headers.get("x-retried") == "1",
+        timeout_ms=_timeout(headers.get("x-timeout", "")),
     )
 
 
--- a/scalelb/protocol/http.py
+++ b/scalelb/protocol/http.py
@@ -63,13 +63,13 @@
 class RequestReader:
     """Bytes of a client to request paths; bodies are skipped."""
 
-    def __init__(self, take: Callable[[str, str, bool], None]) -> None:
+    def __init__(self, handle_request: Callable[[str, str, bool], None]) -> None:
         self.parser = httptools.HttpRequestParser(self)
-        self.take = take
+        self.handle_request = handle_request
         self.url = b""
 
     def feed(self, data: bytes) -> None:
-        """Calls `take(method, path, keep)` for each request that is whole."""
+        """Calls `handle_request(method, path, keep)` for each request that is whole."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -85,7 +85,7 @@
         """A request is whole."""
         url, self.url = self.url, b""
         path = url.partition(b"?")[0].decode("ascii", "replace")
-        self.take(self.parser.get_method().decode(), path, self.parser.should_keep_alive())
+        self.handle_request(self.parser.get_method().decode(), path, self.parser.should_keep_alive())
 
 
 def request(verb: str, target: str, host: str) -> bytes:
@@ -103,27 +103,27 @@
     return "\r\n".join([*lines, "", ""]).encode("ascii") + body
 
 
-def watch(host: str, generation: int | None, hold_ms: int) -> bytes:
+def watch_request(host: str, generation: int | None, hold_ms: int) -> bytes:
     """Ask the director for the whole list, or for what comes after a version."""
     query = "" if generation is None else f"?from={generation}&hold_ms={hold_ms}"
     return request("GET", f"/v1/endpoints{query}", host)
 
 
-def add(host: str, name: int, amount: float, keep_ms: float) -> bytes:
+def counter_request(host: str, name: int, amount: float, keep_ms: float) -> bytes:
     """Add to a number of the counter."""
     figure = f"{amount:.6f}".rstrip("0").rstrip(".")  # plain, as an exponent is no decimal number
     target = f"/v2/numbers/{name:x}?delta={figure}&life_ms={max(1, min(60_000, round(keep_ms)))}"
     return request("POST", target, host)
 
 
-def total(body: bytes) -> float:
+def read_total(body: bytes) -> float:
     """The number that the counter answers."""
     if TOTAL.fullmatch(text := body.strip()) is None or not abs(number := float(text)) <= TOTAL_MOST:
         raise MalformedError(f"the counter's total is {body[:40]!r}")
     return number
 
 
-def read_list(body: bytes) -> tuple[int, bool, list[dict[str, Any]]]:
+def read_endpoint_list(body: bytes) -> tuple[int, bool, list[dict[str, Any]]]:
     """A director's answer: version, whether it is the whole list, and its entries."""
     try:
         answer = orjson.loads(body)
--- a/scalelb/protocol/resp.py
+++ b/scalelb/protocol/resp.py
@@ -22,12 +22,12 @@
 PLAIN_DECIMAL = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 LINE = re.compile(rb"-[A-Z]+(?: [ -~]*)?")  # an error line as backends write them
 LIST_MOST = 1024  # of a call's values
-VALUE_MOST = 64 * 1024  # that is read whole
-FLOW_MOST = 4 * 1024 * 1024  # that is passed on while it comes
+MAX_BUFFERED_VALUE_BYTES = 64 * 1024  # that is read whole
+MAX_STREAMED_VALUE_BYTES = 4 * 1024 * 1024  # that is passed on while it comes
 FLOW_HEAD = re.compile(rb"\*3\r\n\$([0-9]{1,9})\r\n")  # of a reply, up to its value
 PARTS_MOST = 16
-COMMAND_MOST = VALUE_MOST + 4096
-REPLY_MOST = VALUE_MOST + 16 * 1024
+COMMAND_MOST = MAX_BUFFERED_VALUE_BYTES + 4096
+REPLY_MOST = MAX_BUFFERED_VALUE_BYTES + 16 * 1024
 HEADER_MOST = 16  # digits of a length, with its mark
 DEPTH_MOST = 2
 REPLY_PARTS = 3  # value, figures on use, report
@@ -37,7 +37,7 @@
 OK = b"+OK\r\n"
 PING = b"*1\r\n$4\r\nPING\r\n"
 INFO_LOAD = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
-SAFE, OTHER = b"CALL.GET", b"CALL.POST"
+CALL_GET, CALL_POST = b"CALL.GET", b"CALL.POST"
 
 
 def error(words: str) -> bytes:
@@ -180,16 +180,16 @@
 class Call:
     """A client's request, copied out of the buffer once, ready to be passed on."""
 
-    ident: bytes
-    customer: str
-    kind: str
-    plan: str
-    expires_ms: float
+    request_id: bytes
+    tenant: str
+    class_name: str
+    plan_name: str
+    expires_in_ms: float
     units: float
-    spread: int
-    first: int
-    key: str
-    retry: bool
+    sharing_limiters: int
+    first_limiter: int
+    idempotency_key: str
+    is_retry: bool
     raw: bytes
     mark: int  # where the length of the list of values begins in `raw`
     begins: int  # where that list begins
@@ -222,16 +222,16 @@
         try:
             expires = _whole(values, b"d")
             call = cls(
-                ident=ident.lower(),
-                customer=customer,
-                kind=values[b"c"].decode(),
-                plan=values[b"t"].decode(),
-                expires_ms=float(expires),
+                request_id=ident.lower(),
+                tenant=customer,
+                class_name=values[b"c"].decode(),
+                plan_name=values[b"t"].decode(),
+                expires_in_ms=float(expires),
                 units=float(_whole(values, b"units")),
-                spread=_whole(values, b"spread"),
-                first=_whole(values, b"first"),
-                key=values.get(b"k", b"").decode(),
-                retry=values.get(b"r") == b"1",
+                sharing_limiters=_whole(values, b"spread"),
+                first_limiter=_whole(values, b"first"),
+                idempotency_key=values.get(b"k", b"").decode(),
+                is_retry=values.get(b"r") == b"1",
                 raw=command.buffer[start : command.end],
                 mark=command.spans[2][1] + 2 - start,
                 begins=begins - start,
@@ -243,11 +243,11 @@
             raise MalformedError(f"value {missing.args[0].decode()!r} is missing") from None
         except ValueError:
             raise MalformedError("a value is not of its kind") from None
-        if expires < 1 or values.get(b"r", b"0") not in (b"0", b"1") or len(call.key) > KEY_MOST:
+        if expires < 1 or values.get(b"r", b"0") not in (b"0", b"1") or len(call.idempotency_key) > KEY_MOST:
             raise MalformedError("a value is out of range")
         return call
 
-    def passed_on(self, wait_ms: int) -> bytes:
+    def forwarded_command(self, wait_ms: int) -> bytes:
         """The command for a backend: as the client sent it, but for how long the limiter will wait."""
         raw, wait = self.raw, b"%d" % max(1, wait_ms)
         size = self.ends - self.begins + len(wait) - (self.wait_end - self.wait_at)
@@ -281,8 +281,9 @@
 class ReplyReader:
     """Bytes of a backend to the one reply that it owes.
 
-    A value above `VALUE_MOST` is never held whole: once `flow` has given its first bytes, `more` tells which
-    of the next ones belong to it, and `read` gives what is left, the value's end, as the reply's value.
+    A value above `MAX_BUFFERED_VALUE_BYTES` is never held whole: once `begin_streaming` has given its first
+    bytes, `split_streamed` tells which of the next ones belong to it, and `read` gives what is left, the
+    value's end, as the reply's value.
     """
 
     __slots__ = ("behind", "buffer", "extra", "left")
@@ -293,7 +294,7 @@
         self.left = 0  # bytes of a value that are still to flow
         self.behind = False  # such a value has been told: its end and what stands beside it are still owed
 
-    def flow(self) -> bytes | None:
+    def begin_streaming(self) -> bytes | None:
         """The beginning of a long value, with its length, as far as it has come; nothing where none began."""
         head = b"".join(self.buffer.pieces)
         if self.behind or (begins := _flows(head)) is None:
@@ -303,7 +304,7 @@
         self.buffer.keep(head, min(ends, len(head)), 0)
         return head[begins.start(1) - 1 : ends]
 
-    def more(self, data: bytes) -> tuple[memoryview, bytes]:
+    def split_streamed(self, data: bytes) -> tuple[memoryview, bytes]:
         """What of these bytes belongs to the value that flows, and what lies behind it."""
         piece = memoryview(data)[: self.left]
         rest = data[self.left :]
@@ -331,7 +332,11 @@
 def _flows(head: bytes) -> re.Match[bytes] | None:
     """The head of a reply whose value is not to be held whole, if it is one."""
     match = FLOW_HEAD.match(head)
-    return match if match is not None and VALUE_MOST < int(match[1]) <= FLOW_MOST else None
+    return (
+        match
+        if match is not None and MAX_BUFFERED_VALUE_BYTES < int(match[1]) <= MAX_STREAMED_VALUE_BYTES
+        else None
+    )
 
 
 def _bulk(buffer: bytes, at: int) -> tuple[int, int, int] | None:
@@ -350,7 +355,7 @@
     if buffer[at:end] in (b"_", b"$-1"):
         return -1, -1, after
     count = _length(buffer, at, end)
-    if count > FLOW_MOST:
+    if count > MAX_STREAMED_VALUE_BYTES:
         raise MalformedError("the value is too long")
     if len(buffer) < after + count + 2:
         return None
--- a/scalelb/transport/authz/front.py
+++ b/scalelb/transport/authz/front.py
@@ -91,22 +91,22 @@
             raise
         if not self.ready():
             return _denied(code_pb2.UNAVAILABLE, 503, "failed: not ready")
-        expires = self.core.settings.request_classes[asked.kind].deadline_ms
-        if asked.expires_ms is not None:
-            expires = min(expires, asked.expires_ms)
+        expires = self.core.settings.request_classes[asked.class_index].deadline_ms
+        if asked.timeout_ms is not None:
+            expires = min(expires, asked.timeout_ms)
         if (left := context.time_remaining()) is not None:
             expires = min(expires, 1000.0 * left)
         incoming = IncomingRequest(
-            tenant=asked.customer,
-            plan_index=asked.plan,
-            class_index=asked.kind,
+            tenant=asked.tenant,
+            plan_index=asked.plan_index,
+            class_index=asked.class_index,
             expires_in_ms=expires,
             units=asked.units,
-            sharing_limiters=asked.spread,
-            first_limiter=asked.first,
-            is_retry=asked.retry,
+            sharing_limiters=asked.sharing_limiters,
+            first_limiter=asked.first_limiter,
+            is_retry=asked.is_retry,
             listener=LISTENER,
-            idempotency_key=asked.key,
+            idempotency_key=asked.idempotency_key,
             client_address=_host(context.peer()),
         )
         try:
--- a/scalelb/transport/counter.py
+++ b/scalelb/transport/counter.py
@@ -62,7 +62,7 @@
                 outcome, total = Outcome.REJECTED, 0.0  # 503, 400, 404: nothing was added
                 if response.status == 200:
                     try:
-                        outcome, total = Outcome.OK, http.total(response.body)
+                        outcome, total = Outcome.OK, http.read_total(response.body)
                     except MalformedError as error:
                         self.spoilt(add, error)
                         return
@@ -115,7 +115,7 @@
 
     def count(self, name: int, amount: float, keep_ms: float) -> None:
         """Add to a number; `counted` is told what became of it, in the end."""
-        wire = http.add(self.address, name, amount, keep_ms)
+        wire = http.counter_request(self.address, name, amount, keep_ms)
         add = Add(name, amount, keep_ms, wire, self.clock())
         while self.idle and self.idle[-1].unread():  # guards the call: something came that nothing asked for
             self.idle.pop().abort()
@@ -149,7 +149,7 @@
         for add, connection in list(self.out.items()):
             if not connection.up:
                 connection.add = None
-                add.wire = http.add(address, add.name, add.amount, add.keep_ms)
+                add.wire = http.counter_request(address, add.name, add.amount, add.keep_ms)
                 self.dial(add)
 
     def end(self, add: Add, outcome: Outcome, total: float) -> None:
--- a/scalelb/transport/director.py
+++ b/scalelb/transport/director.py
@@ -90,7 +90,7 @@
     def ask(self, connection: DirectorConnection) -> None:
         """Send the next call of the watch."""
         hold = AT_ONCE_MS if self.failed or self.generation is None else HOLD_MS
-        connection.send(http.watch(self.address, self.generation, hold))
+        connection.send(http.watch_request(self.address, self.generation, hold))
         grace = SILENT_MS if self.pace.shared else AGENT_MS
         self.silent = self.reactor.callLater((hold + grace) / 1000, self.give_up, connection)
 
@@ -108,7 +108,7 @@
                 self.generation = None
             connection.close()
             return
-        generation, full, entries = http.read_list(response.body)
+        generation, full, entries = http.read_endpoint_list(response.body)
         self.pace.answered()
         self.rest_ms = REST_MS
         if not response.keep:
--- a/scalelb/transport/fetch.py
+++ b/scalelb/transport/fetch.py
@@ -122,7 +122,7 @@
             if (fetch := self.fetch) is None:
                 raise MalformedError("bytes that nothing asked for")
             if self.piece is not None and self.reader.left:
-                piece, data = self.reader.more(data)
+                piece, data = self.reader.split_streamed(data)
                 self.pass_on(piece)
             reply = self.reader.read(data)
             if reply is None and self.begin_value(fetch):
@@ -145,7 +145,7 @@
 
     def begin_value(self, fetch: Fetch) -> bool:
         """Pass a long value on from here, if one has begun."""
-        if self.piece is not None or fetch.begun is None or (head := self.reader.flow()) is None:
+        if self.piece is not None or fetch.begun is None or (head := self.reader.begin_streaming()) is None:
             return False
         self.piece = fetch.begun(self)
         self.pass_on(head)
--- a/scalelb/transport/session.py
+++ b/scalelb/transport/session.py
@@ -172,7 +172,7 @@
             return
         for answer in self.order:
             if answer.request is not None and answer.data is None:
-                self.door.count(answer.request.payload.call.kind, self.door.metrics.errors)
+                self.door.count(answer.request.payload.call.class_name, self.door.metrics.errors)
         self._give_up()
         for answer in self.order:
             answer.data = FAILED if answer.data is None else answer.data
@@ -186,7 +186,7 @@
 
     def _take(self, command: resp.Command) -> None:
         name = command.name
-        if name in (resp.SAFE, resp.OTHER):
+        if name in (resp.CALL_GET, resp.CALL_POST):
             self._call(command, name)
         elif name == b"PING":
             ready = self.door.ready()
@@ -202,11 +202,11 @@
         call = resp.Call.read(command)
         if self.door.held + len(call.raw) > self.door.held_most:  # guards the memory; nothing was charged
             settings = self.door.core.settings
-            self.door.count(call.kind, self.door.metrics.rejected)
+            self.door.count(call.class_name, self.door.metrics.rejected)
             self._add(Answer(resp.busy(settings.max_retry_after_ms if settings.sends_retry_after else 0.0)))
             return
         answer = Answer()
-        answer.request = self.door.arrive(self, call, name == resp.SAFE, answer)
+        answer.request = self.door.arrive(self, call, name == resp.CALL_GET, answer)
         self.order.append(answer)
 
     def on_answer(
@@ -220,7 +220,7 @@
             data, counts = value, metrics.ok
         elif verdict is Verdict.REJECTED:
             data, counts = resp.busy(retry_after_ms), metrics.rejected
-        self.door.count(request.payload.call.kind, counts)
+        self.door.count(request.payload.call.class_name, counts)
         answer = request.payload.answer
         answer.feeder = None
         if self.order and self.order[0] is answer:
@@ -259,7 +259,7 @@
         can tell the client so."""
         answer.feeder, answer.parts = None, b""
         if answer.sent:
-            self.door.count(request.payload.call.kind, self.door.metrics.errors)
+            self.door.count(request.payload.call.class_name, self.door.metrics.errors)
             self.door.forget(request)
             self.door.core.cancel(request)
             answer.data = b""
@@ -424,41 +424,41 @@
 
     def forget(self, request: OpenRequest) -> None:
         """A request is finished: its id may come again."""
-        self.idents.discard(request.payload.call.ident)
+        self.idents.discard(request.payload.call.request_id)
         self.held -= len(request.payload.call.raw)
 
     def arrive(self, session: ClientSession, call: resp.Call, safe: bool, answer: Answer) -> OpenRequest:
         """Hand one request to the core."""
-        kind, plan = self.kinds.get(call.kind), self.plans.get(call.plan)
+        kind, plan = self.kinds.get(call.class_name), self.plans.get(call.plan_name)
         if kind is None or plan is None:
-            raise MalformedError(f"class {call.kind!r} or plan {call.plan!r} is not known")
+            raise MalformedError(f"class {call.class_name!r} or plan {call.plan_name!r} is not known")
         effect, group = (
             self.core.settings.request_classes[kind].idempotency,
             self.core.settings.request_classes[kind].deduplication_scope,
         )
         if safe != (effect is Idempotency.IDEMPOTENT):
-            raise MalformedError(f"class {call.kind!r} does not come by this command")
-        if effect is Idempotency.IDEMPOTENCY_KEY and not call.key:
+            raise MalformedError(f"class {call.class_name!r} does not come by this command")
+        if effect is Idempotency.IDEMPOTENCY_KEY and not call.idempotency_key:
             raise MalformedError("a request of a keyed class without a key")
-        if call.ident in self.idents:
+        if call.request_id in self.idents:
             raise MalformedError("the id is that of an open request")
         incoming = IncomingRequest(
-            tenant=call.customer,
+            tenant=call.tenant,
             plan_index=plan,
             class_index=kind,
-            expires_in_ms=call.expires_ms,
+            expires_in_ms=call.expires_in_ms,
             units=call.units,
-            sharing_limiters=call.spread,
-            first_limiter=call.first,
-            is_retry=call.retry,
-            idempotency_key=call.key if self.keyed or group is not DeduplicationScope.ALL else "",
+            sharing_limiters=call.sharing_limiters,
+            first_limiter=call.first_limiter,
+            is_retry=call.is_retry,
+            idempotency_key=call.idempotency_key if self.keyed or group is not DeduplicationScope.ALL else "",
             client_address=session.client,
         )
         try:
             request = self.core.submit(session, Held(call, answer), incoming)
         except OutOfRangeError as error:
             raise MalformedError(str(error)) from None
-        self.idents.add(call.ident)
+        self.idents.add(call.request_id)
         self.held += len(call.raw)
         return request
 
--- a/scalelb/transport/status.py
+++ b/scalelb/transport/status.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import ServerFactory
 
 from scalelb.protocol import MalformedError, http
-from scalelb.protocol.agentcheck import Status, line
+from scalelb.protocol.agentcheck import Status, agent_check_line
 from scalelb.transport.stream import Log, Reactor, Stream
 
 Tell = Callable[[], tuple[Status, float]]
@@ -31,7 +31,7 @@
         factory.clients.add(self)
         if factory.agent or len(factory.clients) > CLIENTS_MOST:
             if factory.agent:
-                self.send(line(*factory.tell()))
+                self.send(agent_check_line(*factory.tell()))
             self.close()
         else:
             factory.reactor.callLater(CLIENT_S, self.abort)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -183,9 +183,9 @@
 )
 def test_figures_behind_a_value_that_flowed_are_read(told: bytes, usage: UsageFigures) -> None:
     reader = resp.ReplyReader()
-    assert reader.read(b"*3\r\n$%d\r\n" % (resp.VALUE_MOST + 1)) is None
-    assert reader.flow() is not None
-    reader.more(b"v" * (resp.VALUE_MOST + 1))
+    assert reader.read(b"*3\r\n$%d\r\n" % (resp.MAX_BUFFERED_VALUE_BYTES + 1)) is None
+    assert reader.begin_streaming() is not None
+    reader.split_streamed(b"v" * (resp.MAX_BUFFERED_VALUE_BYTES + 1))
     replies = [reader.read(piece) for piece in cut(b"\r\n" + told + b"$7\r\nqueue=2\r\n", [1, 5, 9])]
     assert replies[:-1] == [None] * (len(replies) - 1)
     assert replies[-1] is not None
@@ -197,9 +197,9 @@
     "body", [b"nan", b"inf", b"-", b"", b"{}", b"1x7", b"1_0", b"0x1", b"1e99", b"9" * 400]
 )
 def test_a_total_that_is_no_number_is_malformed(body: bytes) -> None:
-    assert http.total(b"-12.5\n") == -12.5
+    assert http.read_total(b"-12.5\n") == -12.5
     with pytest.raises(MalformedError):
-        http.total(body)
+        http.read_total(body)
 
 
 def test_answers_that_only_go_before_the_answer_are_passed_over() -> None:
@@ -217,7 +217,7 @@
         try:
             if good is CALLS:
                 for message in resp.CommandReader().feed(data):
-                    if message.name in (resp.SAFE, resp.OTHER):
+                    if message.name in (resp.CALL_GET, resp.CALL_POST):
                         resp.Call.read(message)
             elif (reply := resp.ReplyReader().read(data)) is not None:
                 read_outcome(reply, probe=False)
@@ -230,7 +230,7 @@
     raw = call(7, "record-answer", wait=4000, key="a", body="B\x00*$").replace("\n", "\r\n").encode()
     command = resp.read_command(b"*1\r\n$4\r\nPING\r\n" + raw, 14)
     assert isinstance(command, resp.Command)
-    passed = resp.Call.read(command).passed_on(wait)
+    passed = resp.Call.read(command).forwarded_command(wait)
     again = resp.read_command(passed, 0)
     assert isinstance(again, resp.Command)
     assert again.end == len(passed)
@@ -240,17 +240,17 @@
 
 
 def test_a_value_of_64_kib_comes_whole_a_longer_one_flows_and_none_beyond_4_mib() -> None:
-    most = b"v" * resp.VALUE_MOST
+    most = b"v" * resp.MAX_BUFFERED_VALUE_BYTES
     reply = resp.ReplyReader().read(b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(most), most))
     assert reply is not None
     assert reply.value is not None
     assert len(reply.value) == len(most) + 10
     with pytest.raises(MalformedError):
-        resp.ReplyReader().read(b"*3\r\n$%d\r\n" % (resp.FLOW_MOST + 1))
+        resp.ReplyReader().read(b"*3\r\n$%d\r\n" % (resp.MAX_STREAMED_VALUE_BYTES + 1))
     reader = resp.ReplyReader()
     assert reader.read(b"*3\r\n$%d\r\nabc" % (len(most) + 1)) is None
-    assert (reader.flow(), reader.left) == (b"$%d\r\nabc" % (len(most) + 1), len(most) - 2)
-    piece, rest = reader.more(most)
+    assert (reader.begin_streaming(), reader.left) == (b"$%d\r\nabc" % (len(most) + 1), len(most) - 2)
+    piece, rest = reader.split_streamed(most)
     assert (len(piece), rest, reader.left) == (len(most) - 2, b"vv", 0)
     with pytest.raises(MalformedError):
         reader.read(rest)
@@ -289,14 +289,14 @@
 )
 def test_a_list_that_is_none_is_malformed(body: bytes) -> None:
     with pytest.raises(MalformedError):
-        http.read_list(body)
+        http.read_endpoint_list(body)
 
 
 def test_calls_to_the_counter_are_worded_as_it_wants() -> None:
-    words = http.add("c:1", 0xAB, -2.5, 4000.0)
+    words = http.counter_request("c:1", 0xAB, -2.5, 4000.0)
     assert words.startswith(b"POST /v2/numbers/ab?delta=-2.5&life_ms=4000 HTTP/1.1\r\nHost: c:1\r\n")
-    assert b"life_ms=60000 " in http.add("c:1", 1, 1.0, 1e9)
-    assert b"delta=12345678&" in http.add("c:1", 1, 12345678.0, 1.0)
+    assert b"life_ms=60000 " in http.counter_request("c:1", 1, 1.0, 1e9)
+    assert b"delta=12345678&" in http.counter_request("c:1", 1, 12345678.0, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -310,7 +310,7 @@
     ],
 )
 def test_agent_check_lines(status: Status, weight: float, said: bytes) -> None:
-    assert agentcheck.line(status, weight) == said
+    assert agentcheck.agent_check_line(status, weight) == said
 
 
 def test_the_stubs_are_those_of_the_proto_file(tmp_path: Path) -> None:
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -841,7 +841,7 @@
     stage.play("client2 send {call(2)}\n backend send {SERVED}\n client2 expect $2\\nok")
 
 
-@pytest.mark.parametrize("length", [2, resp.VALUE_MOST + 1], ids=["whole", "flowing"])
+@pytest.mark.parametrize("length", [2, resp.MAX_BUFFERED_VALUE_BYTES + 1], ids=["whole", "flowing"])
 def test_the_units_of_a_guess_that_was_too_high_come_back(length: int) -> None:
     left = []
     for told in ("$-1\\n", "$14\\nused=37,cost=1\\n", "$6\\ncost=7\\n"):  # a request has 6 units at most
