--- a/scalelb/protocol/__init__.py
+++ b/scalelb/protocol/__init__.py
@@ -1,5 +1,5 @@
-"""Codecs without input or output: bytes in, messages out, and back."""
+"""Codecs of the wire protocols, without I/O: received bytes to messages, and messages to bytes."""
 
 
 class MalformedError(Exception):
-    """Bytes that are not what a protocol says."""
+    """The input violates its protocol; the message says how."""
--- a/scalelb/protocol/agentcheck.py
+++ b/scalelb/protocol/agentcheck.py
@@ -1,4 +1,4 @@
-"""HAProxy's agent check: one line that says how much a balancer should send here."""
+"""HAProxy's agent check: a line from which a load balancer sets the weight of this limiter."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Status(Enum):
-    """Where a limiter is between start and stop."""
+    """Readiness of a limiter, as shown to load balancers and health checks."""
 
     STARTING = "starting"
     READY = "ready"
@@ -14,7 +14,7 @@
 
 
 def agent_check_line(status: Status, weight: float) -> bytes:
-    """`up 75%` with the part of the requests that is let in; `drain`; or `down`."""
+    """Return `up 75%` for an admission probability (`weight`) of 0.75, `drain` or `down`."""
     if status is Status.READY:
         return b"up %d%%\n" % max(1, min(100, round(100 * weight)))
     return b"drain\n" if status is Status.DRAINING else b"down #starting\n"
--- a/scalelb/protocol/http.py
+++ b/scalelb/protocol/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages of the director and the counter, and of the health check."""
+"""HTTP/1.1 messages of discovery, the counter, health checks and the operator API."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from scalelb.protocol import MalformedError
 
-BODY_MOST = 4 * 1024 * 1024
-TOTAL = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][-+]?[0-9]{1,2})?")
-TOTAL_MOST = 1e15  # an amount is at most 1e9
+MAX_BODY_BYTES = 4 * 1024 * 1024
+COUNTER_TOTAL = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][-+]?[0-9]{1,2})?")
+MAX_COUNTER_TOTAL = 1e15  # an amount is at most 1e9
 
 
 class Response:
-    """One response, whole."""
+    """One complete response; `keep` says whether its connection stays open."""
 
     __slots__ = ("body", "keep", "status")
 
@@ -26,42 +26,44 @@
 
 
 class ResponseReader:
-    """Bytes of a server to responses, in order."""
+    """Parses the bytes of a server to responses, in order."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self.pieces: list[bytes] = []
-        self.size = 0
-        self.whole: list[Response] = []
+        self.body_pieces: list[bytes] = []
+        self.body_size = 0
+        self.complete: list[Response] = []
 
     def feed(self, data: bytes) -> list[Response]:
-        """The responses that are whole now."""
+        """Return the responses that `data` completes; raises `MalformedError`."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             raise MalformedError(f"not an HTTP response: {error}") from None
-        whole, self.whole = self.whole, []
-        return whole
+        complete, self.complete = self.complete, []
+        return complete
 
     def on_body(self, body: bytes) -> None:
-        """A piece of a body."""
-        self.size += len(body)
-        if self.size > BODY_MOST:
+        """Called by the parser: a piece of a body arrived."""
+        self.body_size += len(body)
+        if self.body_size > MAX_BODY_BYTES:
             raise MalformedError("the body is too long")
-        self.pieces.append(body)
+        self.body_pieces.append(body)
 
     def on_message_complete(self) -> None:
-        """A response is whole.  One that only goes before the answer (1xx) is passed over."""
+        """Called by the parser: a response is complete. An informational one (1xx) is skipped."""
         if self.parser.get_status_code() < 200:
-            self.pieces, self.size = [], 0
+            self.body_pieces, self.body_size = [], 0
             return
-        keep = self.parser.should_keep_alive()
-        self.whole.append(Response(self.parser.get_status_code(), b"".join(self.pieces), keep))
-        self.pieces, self.size = [], 0
+        keep_alive = self.parser.should_keep_alive()
+        self.complete.append(Response(self.parser.get_status_code(), b"".join(self.body_pieces), keep_alive))
+        self.body_pieces, self.body_size = [], 0
 
 
 class RequestReader:
-    """Bytes of a client to request paths; bodies are skipped."""
+    """Parses the bytes of a client to requests; bodies are skipped.
+
+    Calls `handle_request(method, path, keep_alive)` for each complete request."""
 
     def __init__(self, handle_request: Callable[[str, str, bool], None]) -> None:
         self.parser = httptools.HttpRequestParser(self)
@@ -69,67 +71,74 @@
         self.url = b""
 
     def feed(self, data: bytes) -> None:
-        """Calls `handle_request(method, path, keep)` for each request that is whole."""
+        """Parse `data`; raises `MalformedError`."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             raise MalformedError(f"not an HTTP request: {error}") from None
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the address."""
+        """Called by the parser: a piece of the URL arrived."""
         self.url += url
         if len(self.url) > 1024:
             raise MalformedError("the address is too long")
 
     def on_message_complete(self) -> None:
-        """A request is whole."""
+        """Called by the parser: a request is complete."""
         url, self.url = self.url, b""
         path = url.partition(b"?")[0].decode("ascii", "replace")
         self.handle_request(self.parser.get_method().decode(), path, self.parser.should_keep_alive())
 
 
-def request(verb: str, target: str, host: str) -> bytes:
-    """A request without a body."""
-    length = "Content-Length: 0\r\n" if verb == "POST" else ""
-    return f"{verb} {target} HTTP/1.1\r\nHost: {host}\r\n{length}\r\n".encode("ascii")
+def request(method: str, target: str, host: str) -> bytes:
+    """Return a request without a body."""
+    length = "Content-Length: 0\r\n" if method == "POST" else ""
+    return f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n{length}\r\n".encode("ascii")
 
 
 def response(
-    status: int, reason: str, body: bytes, kind: str = "application/json", close: bool = False
+    status: int, reason: str, body: bytes, content_type: str = "application/json", close: bool = False
 ) -> bytes:
-    """A response with a body; with `close`, the last on its connection."""
-    lines = [f"HTTP/1.1 {status} {reason}", f"Content-Type: {kind}", f"Content-Length: {len(body)}"]
+    """Return a response; with `close`, it announces that the connection closes after it."""
+    lines = [f"HTTP/1.1 {status} {reason}", f"Content-Type: {content_type}", f"Content-Length: {len(body)}"]
     lines += ["Connection: close"] * close
     return "\r\n".join([*lines, "", ""]).encode("ascii") + body
 
 
 def watch_request(host: str, generation: int | None, hold_ms: int) -> bytes:
-    """Ask the director for the whole list, or for what comes after a version."""
+    """Return a request for the endpoint list: the complete one, or what changes after `generation`.
+
+    Discovery holds the response back for up to `hold_ms` until there is a change."""
     query = "" if generation is None else f"?from={generation}&hold_ms={hold_ms}"
     return request("GET", f"/v1/endpoints{query}", host)
 
 
-def counter_request(host: str, name: int, amount: float, keep_ms: float) -> bytes:
-    """Add to a number of the counter."""
-    figure = f"{amount:.6f}".rstrip("0").rstrip(".")  # plain, as an exponent is no decimal number
-    target = f"/v2/numbers/{name:x}?delta={figure}&life_ms={max(1, min(60_000, round(keep_ms)))}"
+def counter_request(host: str, counter_key: int, amount: float, retention_ms: float) -> bytes:
+    """Return a request that adds `amount` to a number of the counter, to be retained for `retention_ms`."""
+    delta = f"{amount:.6f}".rstrip("0").rstrip(".")  # decimal notation: the counter expects no exponent
+    target = f"/v2/numbers/{counter_key:x}?delta={delta}&life_ms={max(1, min(60_000, round(retention_ms)))}"
     return request("POST", target, host)
 
 
 def read_total(body: bytes) -> float:
-    """The number that the counter answers."""
-    if TOTAL.fullmatch(text := body.strip()) is None or not abs(number := float(text)) <= TOTAL_MOST:
+    """Return the total in a response of the counter; raises `MalformedError`."""
+    if (
+        COUNTER_TOTAL.fullmatch(text := body.strip()) is None
+        or not abs(number := float(text)) <= MAX_COUNTER_TOTAL
+    ):
         raise MalformedError(f"the counter's total is {body[:40]!r}")
     return number
 
 
 def read_endpoint_list(body: bytes) -> tuple[int, bool, list[dict[str, Any]]]:
-    """A director's answer: version, whether it is the whole list, and its entries."""
+    """Return the generation of discovery's response, whether its list is complete, and the entries.
+
+    Raises `MalformedError`."""
     try:
-        answer = orjson.loads(body)
-        entries = answer["instances"]
+        content = orjson.loads(body)
+        entries = content["instances"]
         if not all(isinstance(entry, dict) for entry in entries):
             raise TypeError("an entry is no object")
-        return int(answer["generation"]), bool(answer["reset"]), entries
+        return int(content["generation"]), bool(content["reset"]), entries
     except (ValueError, KeyError, TypeError) as error:
         raise MalformedError(f"not a list: {error}") from None
