--- a/scalelb/__init__.py
+++ b/scalelb/__init__.py
@@ -1,4 +1,4 @@
-"""A distributed rate limiter with admission control and endpoint selection for fleets that tenants share."""
+"""A distributed rate limiter with admission control and endpoint selection for multi-tenant fleets."""
 
 from scalelb.policy.limiter import Limiter
 
--- a/scalelb/middleware/__init__.py
+++ b/scalelb/middleware/__init__.py
@@ -1,4 +1,4 @@
-"""ASGI middleware (Starlette, FastAPI and others) on the same core as the daemon."""
+"""ASGI middleware (for Starlette, FastAPI and others) that uses the same core as the daemon."""
 
 from scalelb.middleware.asgi import LimiterMiddleware
 from scalelb.middleware.host import AddToCounter, Host
--- a/scalelb/middleware/asgi.py
+++ b/scalelb/middleware/asgi.py
@@ -1,4 +1,4 @@
-"""The middleware: each HTTP request is admitted, or answered with 429, before the app sees it."""
+"""ASGI middleware that passes admitted HTTP requests to the app and answers the others with 429."""
 
 from __future__ import annotations
 
@@ -18,19 +18,21 @@
 Receive = Callable[[], Awaitable[Message]]
 Send = Callable[[Message], Awaitable[None]]
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
-EARLY_MOST = 64 * 1024  # of a body, read while the decision is awaited
+MAX_EARLY_BYTES = 64 * 1024  # of a request body that are received before the decision
 Identify = Callable[[Scope], Mapping[str, str]]
 
 
 def identify_by_headers(scope: Scope) -> Mapping[str, str]:
-    """The request's own headers (see `scalelb.protocol.headers`)."""
+    """Return the headers that the client sent; `scalelb.protocol.headers` says which ones are read."""
     return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in scope["headers"]}
 
 
 class LimiterMiddleware:
-    """Wraps an ASGI app.  `identify` tells whose a request is, in the form of the headers; an app that knows
-    its customers by a login gives its own.  `kinds` and `plans` are the names of the settings' classes and
-    plans, in their order."""
+    """Wraps an ASGI app with admission control.
+
+    `identify` returns the headers that describe a request, its tenant among them; an app that knows its
+    tenants by a login supplies its own function. `kinds` and `plans` are the names of the request classes and
+    plans, in the order of the settings."""
 
     def __init__(
         self,
@@ -41,86 +43,98 @@
         identify: Identify = identify_by_headers,
     ) -> None:
         self.app, self.host, self.identify = app, host, identify
-        self.kinds = {name: place for place, name in enumerate(kinds)}
-        self.plans = {name: place for place, name in enumerate(plans)}
+        self.kinds = {name: index for index, name in enumerate(kinds)}
+        self.plans = {name: index for index, name in enumerate(plans)}
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """One connection of the server."""
+        """Handle one connection; those that are not HTTP requests are passed to the app unchecked."""
         if scope["type"] != "http":
             await self.app(scope, receive, send)
             return
         try:
-            asked = headers.read_headers(self.identify(scope), self.kinds, self.plans)
+            request = headers.read_headers(self.identify(scope), self.kinds, self.plans)
         except MalformedError as error:
             await _answer(send, 400, str(error))
             return
-        deadline = self.host.settings.request_classes[asked.class_index].deadline_ms
+        deadline_ms = self.host.settings.request_classes[request.class_index].deadline_ms
         incoming = IncomingRequest(
-            tenant=asked.tenant,
-            plan_index=asked.plan_index,
-            class_index=asked.class_index,
-            expires_in_ms=deadline if asked.timeout_ms is None else min(deadline, asked.timeout_ms),
-            units=asked.units,
-            sharing_limiters=asked.sharing_limiters,
-            first_limiter=asked.first_limiter,
-            is_retry=asked.is_retry,
-            idempotency_key=asked.idempotency_key,
+            tenant=request.tenant,
+            plan_index=request.plan_index,
+            class_index=request.class_index,
+            expires_in_ms=deadline_ms if request.timeout_ms is None else min(deadline_ms, request.timeout_ms),
+            units=request.units,
+            sharing_limiters=request.sharing_limiters,
+            first_limiter=request.first_limiter,
+            is_retry=request.is_retry,
+            idempotency_key=request.idempotency_key,
             client_address=str((scope.get("client") or ("",))[0]),
         )
-        asking = admit(self.host.core, incoming)
-        early: list[Message] = []
+        admission = admit(self.host.core, incoming)
+        early_messages: list[Message] = []
         try:
-            decision = await _unless_gone(asking, receive, early)
+            decision = await _decision_or_disconnect(admission, receive, early_messages)
         except OutOfRangeError as error:
             await _answer(send, 400, f"x-quota: {error}")
             return
         if decision is None:
             return
         if decision.verdict is Verdict.ADMITTED:
-            await self.app(scope, _again(early, receive), send)
+            await self.app(scope, _receive_after(early_messages, receive), send)
         elif decision.verdict is Verdict.REJECTED:
-            wait = decision.retry_after_ms
-            more = {"retry-after": headers.retry_after(wait), "x-retry-after-ms": str(max(0, round(wait)))}
-            await _answer(send, 429, "over the quota or too busy", more)
+            wait_ms = decision.retry_after_ms
+            retry_headers = {
+                "retry-after": headers.retry_after(wait_ms),
+                "x-retry-after-ms": str(max(0, round(wait_ms))),
+            }
+            await _answer(send, 429, "over the quota or too busy", retry_headers)
         else:
             await _answer(send, 503, "no decision in time")
 
 
-async def _unless_gone(
-    asking: Coroutine[Any, Any, AdmissionDecision], receive: Receive, early: list[Message]
+async def _decision_or_disconnect(
+    admission: Coroutine[Any, Any, AdmissionDecision], receive: Receive, early_messages: list[Message]
 ) -> Any:
-    """The decision; nothing if the client leaves first.  What it sent meanwhile is kept for the app."""
+    """Await the decision; return None if the client disconnects first.
+
+    Messages that arrive meanwhile are added to `early_messages`, for the app."""
 
-    async def until_gone() -> None:
+    async def wait_for_disconnect() -> None:
         size = 0
-        while size <= EARLY_MOST:  # guards the memory: the server holds the rest
+        while size <= MAX_EARLY_BYTES:  # bounds the memory: the server buffers the rest
             message = await receive()
             if message["type"] == "http.disconnect":
                 return
-            early.append(message)
+            early_messages.append(message)
             size += len(message.get("body", b"")) + 1
         await asyncio.Event().wait()
 
-    deciding, leaving = asyncio.ensure_future(asking), asyncio.ensure_future(until_gone())
+    decision_task, disconnect_task = (
+        asyncio.ensure_future(admission),
+        asyncio.ensure_future(wait_for_disconnect()),
+    )
     try:
-        await asyncio.wait({deciding, leaving}, return_when=asyncio.FIRST_COMPLETED)
-        return deciding.result() if deciding.done() else None
+        await asyncio.wait({decision_task, disconnect_task}, return_when=asyncio.FIRST_COMPLETED)
+        return decision_task.result() if decision_task.done() else None
     finally:
-        deciding.cancel()
-        leaving.cancel()
-        await asyncio.wait({deciding, leaving})
+        decision_task.cancel()
+        disconnect_task.cancel()
+        await asyncio.wait({decision_task, disconnect_task})
 
 
-def _again(early: list[Message], receive: Receive) -> Receive:
-    async def again() -> Message:
-        return early.pop(0) if early else await receive()
+def _receive_after(early_messages: list[Message], receive: Receive) -> Receive:
+    async def receive_next() -> Message:
+        return early_messages.pop(0) if early_messages else await receive()
 
-    return again
+    return receive_next
 
 
-async def _answer(send: Send, status: int, words: str, more: Mapping[str, str] | None = None) -> None:
-    body = words.encode()
-    told = {"content-type": "text/plain; charset=utf-8", "content-length": str(len(body)), **(more or {})}
-    pairs = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in told.items()]
+async def _answer(send: Send, status: int, text: str, extra_headers: Mapping[str, str] | None = None) -> None:
+    body = text.encode()
+    all_headers = {
+        "content-type": "text/plain; charset=utf-8",
+        "content-length": str(len(body)),
+        **(extra_headers or {}),
+    }
+    pairs = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in all_headers.items()]
     await send({"type": "http.response.start", "status": status, "headers": pairs})
     await send({"type": "http.response.body", "body": body})
--- a/scalelb/middleware/host.py
+++ b/scalelb/middleware/host.py
@@ -1,4 +1,4 @@
-"""Hosts a core on a running asyncio loop, for admissions only: timers, and a counter if there is one."""
+"""Runs a core on an asyncio event loop, for admission only, with an optional shared counter."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 from scalelb.policy.settings import Settings
 
 AddToCounter = Callable[[int, float, float], Awaitable[float]]
-"""Add an amount to a named number that lives so many milliseconds; return the total, or raise."""
+"""Adds an amount to a counter, given key, amount and retention time in ms; returns the total, or raises."""
 
 
 class Host:
-    """The ports of a core that sends no attempts.  Without `add`, quotas hold in this process alone."""
+    """Owns a core that only admits requests, and implements its ports on the event loop.
+
+    `add` calls the counter; if it is None, quotas apply to this process alone. `clock` returns milliseconds;
+    `door` are the settings of the admission queue, None to run without one."""
 
     def __init__(
         self,
@@ -35,47 +38,48 @@
         self.settings, self.add = settings, add
         limits = CoreLimits(answer_margin_ms=0.0, client_transit_ms=0.0)
         self.core = Core(settings, seed, self, self.clock, limits, queue_settings=door)
-        self.alarm: asyncio.TimerHandle | None = None
+        self.wakeup_timer: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
     def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
-        """Only admissions come this way; no attempt is ever sent."""
+        """Report a failed attempt: requests are only admitted, none is ever sent."""
         self.core.attempt_ended(request, Outcome.CONNECT_FAILED)
 
     def abandon_attempt(self, request: OpenRequest) -> None:
-        """No attempt is ever in flight."""
+        """Do nothing: no attempt is ever in flight."""
 
     def check_health(self, endpoint: str) -> None:
-        """There are no endpoints."""
+        """Do nothing: there are no endpoints."""
 
     def on_endpoints(self, endpoints: Iterable[Endpoint], is_complete: bool) -> None:
-        """There are no endpoints."""
+        """Do nothing: there are no endpoints."""
 
     def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
-        """Call the counter, in a task of its own."""
-        task = asyncio.get_running_loop().create_task(self._count(counter_key, amount, retention_ms))
+        """Call the counter in a separate task."""
+        task = asyncio.get_running_loop().create_task(self._call_counter(counter_key, amount, retention_ms))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _count(self, counter_key: int, amount: float, retention_ms: float) -> None:
-        began, outcome, total = self.clock(), Outcome.CONNECT_FAILED, 0.0
+    async def _call_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
+        started_at, outcome, total = self.clock(), Outcome.CONNECT_FAILED, 0.0
         if self.add is not None:
             try:
-                timeout = self.settings.counter_wait_ms / 1000
-                total = await asyncio.wait_for(self.add(counter_key, amount, retention_ms), timeout)
-                # Guards the quota: what is no number was added, but says nothing of the others' use.
+                timeout_s = self.settings.counter_wait_ms / 1000
+                total = await asyncio.wait_for(self.add(counter_key, amount, retention_ms), timeout_s)
+                # The amount was added even if the total is not finite; that total says nothing about the use
+                # through other limiters and must not change the quota.
                 outcome = Outcome.OK if isfinite(total) else Outcome.ERROR
             except ConnectionRefusedError:
                 outcome = Outcome.CONNECT_FAILED
-            except Exception:  # guards the app: whatever the counter does, it may have added
+            except Exception:  # any other failure must not reach the app, and the amount may have been added
                 outcome = Outcome.TIMEOUT
-        self.core.counter_replied(counter_key, outcome, total, self.clock() - began)
+        self.core.counter_replied(counter_key, outcome, total, self.clock() - started_at)
 
     def wake_at(self, due_at: float) -> None:
-        """Have the core take its turn at this time."""
+        """Have the core take its turn at this time (ms), or as soon as possible if it is 0."""
         loop = asyncio.get_running_loop()
-        if self.alarm is not None:
-            self.alarm.cancel()
-        self.alarm = loop.call_later(
+        if self.wakeup_timer is not None:
+            self.wakeup_timer.cancel()
+        self.wakeup_timer = loop.call_later(
             max(0.0, due_at - self.clock()) / 1000 if due_at else 0.0, self.core.turn
         )
