--- a/scalelb/middleware/asgi.py
+++ b/scalelb/middleware/asgi.py
@@ -81,12 +81,9 @@
         if decision.verdict is Verdict.ADMITTED:
             await self.app(scope, _receive_after(early_messages, receive), send)
         elif decision.verdict is Verdict.REJECTED:
-            wait_ms = decision.retry_after_ms
-            retry_headers = {
-                "retry-after": headers.retry_after(wait_ms),
-                "x-retry-after-ms": str(max(0, round(wait_ms))),
-            }
-            await _answer(send, 429, "over the quota or too busy", retry_headers)
+            wait = decision.retry_after_ms
+            extra = {"retry-after": headers.retry_after(wait), "x-retry-after-ms": str(max(0, round(wait)))}
+            await _answer(send, 429, "over the quota or too busy", extra)
         else:
             await _answer(send, 503, "no decision in time")
 
