--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -1,4 +1,4 @@
-"""The ASGI middleware before a Starlette app, asked by a stand-in client; time is moved by hand."""
+"""The ASGI middleware in front of a Starlette app, on a clock that the tests advance."""
 
 from __future__ import annotations
 
@@ -20,43 +20,43 @@
 HEADERS = {"x-customer": "00000000000000ad", "x-priority-class": "fetch-cards", "x-plan": "basic"}
 
 
-class App:
-    """An app behind the middleware, and its clock."""
+class LimitedApp:
+    """An app behind the middleware, with its clock and counter."""
 
     def __init__(self, **fields: Any) -> None:
-        self.now, self.served = 1e6, 0
-        self.added: list[tuple[int, float]] = []
+        self.now, self.served_requests = 1e6, 0
+        self.counter_calls: list[tuple[int, float]] = []
         settings = replace(SITE, **({"has_counter": False, "limiter_count": 3} | fields))
-        self.host = Host(settings, 1, self.add, lambda: self.now)
-        inner = Starlette(routes=[Route("/cards", self.cards, methods=["GET", "POST"])])
-        self.app = LimiterMiddleware(inner, self.host, KINDS, PLANS)
+        self.host = Host(settings, 1, self.add_to_counter, lambda: self.now)
+        inner_app = Starlette(routes=[Route("/cards", self.handle_cards, methods=["GET", "POST"])])
+        self.app = LimiterMiddleware(inner_app, self.host, KINDS, PLANS)
 
-    async def add(self, name: int, amount: float, keep_ms: float) -> float:
-        self.added.append((name, amount))
+    async def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> float:
+        self.counter_calls.append((counter_key, amount))
         return amount
 
-    async def cards(self, request: Request) -> PlainTextResponse:
-        self.served += 1
+    async def handle_cards(self, request: Request) -> PlainTextResponse:
+        self.served_requests += 1
         return PlainTextResponse(f"due {len(await request.body())}")
 
-    async def ask(self, body: bytes = b"", **more: str) -> httpx.Response:
-        headers = HEADERS | {name.replace("_", "-"): value for name, value in more.items()}
+    async def send_request(self, body: bytes = b"", **extra_headers: str) -> httpx.Response:
+        headers = HEADERS | {name.replace("_", "-"): value for name, value in extra_headers.items()}
         async with httpx.AsyncClient(
             transport=httpx.ASGITransport(app=self.app), base_url="http://app"
         ) as client:
             return await client.post("/cards", headers=headers, content=body)
 
 
-def play(story: Callable[[App], Coroutine[Any, Any, None]], **fields: Any) -> None:
+def run_scenario(scenario: Callable[[LimitedApp], Coroutine[Any, Any, None]], **fields: Any) -> None:
     async def run() -> None:
-        await asyncio.wait_for(story(App(**fields)), 60)
+        await asyncio.wait_for(scenario(LimitedApp(**fields)), 60)
 
     asyncio.run(run())
 
 
-async def pass_time(app: App, ms: float, *tasks: asyncio.Future[Any]) -> None:
-    """Time passes in steps, with a turn in each."""
-    for _ in range(int(ms // 10)):
+async def advance(app: LimitedApp, duration_ms: float, *tasks: asyncio.Future[Any]) -> None:
+    """Advance the clock in steps of 10 ms, each with a turn of the core; stop once the tasks are done."""
+    for _ in range(int(duration_ms // 10)):
         app.now += 10.0
         app.host.core.turn()
         await asyncio.sleep(0)
@@ -64,76 +64,81 @@
             return
 
 
-def test_an_admitted_request_reaches_the_app_with_its_body() -> None:
-    async def story(app: App) -> None:
-        answer = await app.ask(b"x" * 200_000)
-        assert (answer.status_code, answer.text) == (200, "due 200000")
+def test_admitted_request_reaches_the_app_with_its_body() -> None:
+    async def scenario(app: LimitedApp) -> None:
+        response = await app.send_request(b"x" * 200_000)
+        assert (response.status_code, response.text) == (200, "due 200000")
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_refused_one_does_not_and_is_told_when_to_come_back() -> None:
-    async def story(app: App) -> None:
-        asks = [asyncio.ensure_future(app.ask(x_quota="units=6")) for _ in range(12)]
+def test_rejected_request_does_not_reach_the_app_and_gets_a_retry_after_time() -> None:
+    async def scenario(app: LimitedApp) -> None:
+        requests = [asyncio.ensure_future(app.send_request(x_quota="units=6")) for _ in range(12)]
         await asyncio.sleep(0.05)
-        await pass_time(app, 8000.0, *asks)
-        codes = [(await ask).status_code for ask in asks]
+        await advance(app, 8000.0, *requests)
+        codes = [(await request).status_code for request in requests]
         assert 0 < codes.count(429) < 12
-        assert codes.count(200) == app.served == 12 - codes.count(429)
-        refused = next(a for a in [await ask for ask in asks] if a.status_code == 429)
-        assert int(refused.headers["retry-after"]) >= 1
-        assert 0 < int(refused.headers["x-retry-after-ms"]) <= 1000
+        assert codes.count(200) == app.served_requests == 12 - codes.count(429)
+        rejection = next(
+            response for response in [await request for request in requests] if response.status_code == 429
+        )
+        assert int(rejection.headers["retry-after"]) >= 1
+        assert 0 < int(rejection.headers["x-retry-after-ms"]) <= 1000
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "faulty_headers",
     [{"x_customer": "ada"}, {"x_plan": "none"}, {"x_quota": "units=x"}, {"x_quota": "units=9"}],
 )
-def test_bad_headers_are_400(bad: dict[str, str]) -> None:
-    async def story(app: App) -> None:
-        answer = await app.ask(b"", **bad)
-        assert answer.status_code == 400
-        assert next(iter(bad)).replace("_", "-").split("-")[1] in answer.text
-        assert not app.served
+def test_malformed_headers_are_answered_with_400(faulty_headers: dict[str, str]) -> None:
+    async def scenario(app: LimitedApp) -> None:
+        response = await app.send_request(b"", **faulty_headers)
+        assert response.status_code == 400
+        assert next(iter(faulty_headers)).replace("_", "-").split("-")[1] in response.text
+        assert not app.served_requests
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_blocks_are_taken_from_the_counter() -> None:
-    async def story(app: App) -> None:
-        await app.ask()
+def test_units_are_leased_from_the_counter() -> None:
+    async def scenario(app: LimitedApp) -> None:
+        await app.send_request()
         await asyncio.sleep(0.01)
-        assert app.added
-        assert app.host.core.counts["counter ok"] == len(app.added)
+        assert app.counter_calls
+        assert app.host.core.counts["counter ok"] == len(app.counter_calls)
 
-    play(story, has_counter=True)
+    run_scenario(scenario, has_counter=True)
 
 
-def test_a_client_that_leaves_while_held_spends_nothing() -> None:
-    async def story(app: App) -> None:
-        scope = {"type": "http", "headers": [(k.encode(), v.encode()) for k, v in HEADERS.items()]}
+def test_client_that_disconnects_while_queued_is_charged_nothing() -> None:
+    async def scenario(app: LimitedApp) -> None:
+        scope = {
+            "type": "http",
+            "headers": [(key.encode(), value.encode()) for key, value in HEADERS.items()],
+        }
         scope["headers"] = [*scope["headers"], (b"x-quota", b"units=6")]
-        leave, sent = asyncio.Event(), []
+        disconnect, sent = asyncio.Event(), []
 
         async def receive() -> Any:
-            await leave.wait()
+            await disconnect.wait()
             return {"type": "http.disconnect"}
 
         async def send(message: Any) -> None:
             sent.append(message)
 
-        while not any(c.queue.requests for c in app.host.core.limiter.tenants.tenants.values()):
+        while not any(state.queue.requests for state in app.host.core.limiter.tenants.tenants.values()):
             assert len(sent) < 40
-            held = asyncio.ensure_future(app.app(dict(scope), receive, send))
+            queued = asyncio.ensure_future(app.app(dict(scope), receive, send))
             await asyncio.sleep(0.005)
-        [ada] = app.host.core.limiter.tenants.tenants.values()
-        before = ada.bucket.balance
-        leave.set()
-        await held
+        [tenant] = app.host.core.limiter.tenants.tenants.values()
+        balance = tenant.bucket.balance
+        disconnect.set()
+        await queued
         app.host.core.turn()
-        assert (ada.bucket.balance, len(ada.queue.requests)) == (before, 0)
+        assert (tenant.bucket.balance, len(tenant.queue.requests)) == (balance, 0)
         assert not app.host.core.open_requests
 
-    play(story)
+    run_scenario(scenario)
