--- a/tests/test_authorization.py
+++ b/tests/test_authorization.py
@@ -1,4 +1,4 @@
-"""External authorization: a stand-in gateway asks over gRPC on loopback; time is moved by hand."""
+"""External authorization over gRPC on loopback, on a clock that the tests advance."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 from scalelb.transport.authz import external_auth_pb2 as pb
 from scalelb.transport.authz.front import Authorization, GrpcFront
 
-ADA = "00000000000000ad"
-HEADERS = {"x-customer": ADA, "x-priority-class": "record-answer", "x-plan": "basic"}
+TENANT_ID = "00000000000000ad"
+HEADERS = {"x-customer": TENANT_ID, "x-priority-class": "record-answer", "x-plan": "basic"}
 
 
-def question(**more: str) -> pb.CheckRequest:
-    headers = HEADERS | {name.replace("_", "-"): value for name, value in more.items()}
+def check_request(**extra_headers: str) -> pb.CheckRequest:
+    headers = HEADERS | {name.replace("_", "-"): value for name, value in extra_headers.items()}
     http = pb.AttributeContext.HttpRequest(headers=headers)
     return pb.CheckRequest(attributes=pb.AttributeContext(request=pb.AttributeContext.Request(http=http)))
 
 
 class Gateway:
-    """The stand-in gateway: a channel to a front of our own."""
+    """A gateway: a channel to a gRPC front end with a core of its own."""
 
-    def __init__(self, back: Backside) -> None:
-        self.back, self.logged = back, []  # type: tuple[Backside, list[dict[str, Any]]]
-        check = Authorization(back.core, KINDS, PLANS, lambda: True, self.log)
-        self.front = GrpcFront(check, "127.0.0.1:0", "", self.log)
+    def __init__(self, harness: Backside) -> None:
+        self.harness, self.logged = harness, []  # type: tuple[Backside, list[dict[str, Any]]]
+        check = Authorization(harness.core, KINDS, PLANS, lambda: True, self.log)
+        self.front_end = GrpcFront(check, "127.0.0.1:0", "", self.log)
 
     def log(self, event: str, **fields: Any) -> None:
         self.logged.append({"event": event, **fields})
 
     async def __aenter__(self) -> Gateway:
-        await self.front.start()
-        self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.front.ports['127.0.0.1:0']}")
+        await self.front_end.start()
+        self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.front_end.ports['127.0.0.1:0']}")
         self.call = self.channel.unary_unary(
             "/envoy.service.auth.v3.Authorization/Check",
             request_serializer=pb.CheckRequest.SerializeToString,
@@ -52,60 +52,60 @@
 
     async def __aexit__(self, *_: object) -> None:
         await self.channel.close()
-        await self.front.stop(None)
+        await self.front_end.stop(None)
 
-    async def taken(self, count: int) -> None:
-        """Until so many requests have reached the core."""
-        while self.back.core.open_requests.last_id < count:
+    async def wait_for_requests(self, count: int) -> None:
+        """Wait until so many requests have reached the core."""
+        while self.harness.core.open_requests.last_id < count:
             await asyncio.sleep(0.001)
 
-    async def ask(self, ms: float = 0.0, **more: str) -> pb.CheckResponse:
-        """One question, while so much time passes on the limiter's clock."""
-        before = self.back.core.open_requests.last_id
-        call = self.call(question(**more), timeout=60)
-        await self.taken(before + 1)
-        self.back.run(ms)
-        answer: pb.CheckResponse = await call
-        return answer
+    async def check(self, duration_ms: float = 0.0, **extra_headers: str) -> pb.CheckResponse:
+        """Call `Check`, and advance the limiter's clock until the response is due."""
+        last_id = self.harness.core.open_requests.last_id
+        call = self.call(check_request(**extra_headers), timeout=60)
+        await self.wait_for_requests(last_id + 1)
+        self.harness.run(duration_ms)
+        response: pb.CheckResponse = await call
+        return response
 
 
-def play(story: Callable[[Gateway], Awaitable[None]], back: Backside | None = None) -> None:
+def run_scenario(scenario: Callable[[Gateway], Awaitable[None]], harness: Backside | None = None) -> None:
     async def run() -> None:
-        async with Gateway(back or Backside()) as gateway:
-            await asyncio.wait_for(story(gateway), 60)
+        async with Gateway(harness or Backside()) as gateway:
+            await asyncio.wait_for(scenario(gateway), 60)
 
     asyncio.run(run())
 
 
-def test_an_admission_is_charged_and_nothing_is_fetched() -> None:
-    async def story(g: Gateway) -> None:
-        answer = await g.ask(x_quota="units=3")
-        assert answer.status.code == code_pb2.OK
-        assert answer.HasField("ok_response")
-        assert not g.back.sent_attempts
-        assert g.back.core.limiter.tenants.tenants[ADA].bucket.balance < 16.0 - 3.0
+def test_admission_is_charged_and_no_attempt_is_sent() -> None:
+    async def scenario(gateway: Gateway) -> None:
+        response = await gateway.check(x_quota="units=3")
+        assert response.status.code == code_pb2.OK
+        assert response.HasField("ok_response")
+        assert not gateway.harness.sent_attempts
+        assert gateway.harness.core.limiter.tenants.tenants[TENANT_ID].bucket.balance < 16.0 - 3.0
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_refusal_is_429_and_says_when_to_come_back() -> None:
-    async def story(g: Gateway) -> None:
-        answers = [await g.ask(x_quota="units=6") for _ in range(2)]
-        answers += [await g.ask(1000.0, x_quota="units=6") for _ in range(3)]
-        assert answers[0].status.code == code_pb2.OK
-        denied = [a for a in answers if a.HasField("denied_response")]
+def test_rejection_is_429_with_a_retry_after_time() -> None:
+    async def scenario(gateway: Gateway) -> None:
+        responses = [await gateway.check(x_quota="units=6") for _ in range(2)]
+        responses += [await gateway.check(1000.0, x_quota="units=6") for _ in range(3)]
+        assert responses[0].status.code == code_pb2.OK
+        denied = [response for response in responses if response.HasField("denied_response")]
         assert denied
-        assert {a.status.code for a in denied} == {code_pb2.RESOURCE_EXHAUSTED}
-        assert {a.denied_response.status.code for a in denied} == {429}
-        told = {o.header.key: o.header.value for o in denied[0].denied_response.headers}
-        assert int(told["retry-after"]) >= 1
-        assert 0 < int(told["x-retry-after-ms"]) <= 1000
+        assert {response.status.code for response in denied} == {code_pb2.RESOURCE_EXHAUSTED}
+        assert {response.denied_response.status.code for response in denied} == {429}
+        headers = {option.header.key: option.header.value for option in denied[0].denied_response.headers}
+        assert int(headers["retry-after"]) >= 1
+        assert 0 < int(headers["x-retry-after-ms"]) <= 1000
 
-    play(story, Backside(replace(SITE, has_counter=False)))
+    run_scenario(scenario, Backside(replace(SITE, has_counter=False)))
 
 
 @pytest.mark.parametrize(
-    ("bad", "words"),
+    ("faulty_headers", "message"),
     [
         ({"x_customer": "ada"}, "customer"),
         ({"x_customer": "f" * 16}, "2^33"),
@@ -123,199 +123,204 @@
         ({"idempotency_key": "k" * 1000}, "idempotency-key"),
     ],
 )
-def test_bad_attributes_are_an_invalid_argument(bad: dict[str, str], words: str) -> None:
-    async def story(g: Gateway) -> None:
+def test_malformed_attributes_are_an_invalid_argument(faulty_headers: dict[str, str], message: str) -> None:
+    async def scenario(gateway: Gateway) -> None:
         with pytest.raises(grpc.aio.AioRpcError) as error:
-            await g.call(question(**bad), timeout=60)
+            await gateway.call(check_request(**faulty_headers), timeout=60)
         assert error.value.code() is grpc.StatusCode.INVALID_ARGUMENT
-        assert words in (error.value.details() or "")
-        assert not g.back.core.open_requests.last_id
-        assert (await g.ask()).status.code == code_pb2.OK  # the front lives on
+        assert message in (error.value.details() or "")
+        assert not gateway.harness.core.open_requests.last_id
+        assert (await gateway.check()).status.code == code_pb2.OK  # the front end still serves
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_missing_attributes_are_an_invalid_argument() -> None:
-    async def story(g: Gateway) -> None:
+    async def scenario(gateway: Gateway) -> None:
         with pytest.raises(grpc.aio.AioRpcError) as error:
-            await g.call(pb.CheckRequest(), timeout=60)
+            await gateway.call(pb.CheckRequest(), timeout=60)
         assert error.value.code() is grpc.StatusCode.INVALID_ARGUMENT
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_the_word_of_the_gateway_goes_before_the_clients() -> None:
-    async def story(g: Gateway) -> None:
-        asked = question(x_plan="forged")
-        asked.attributes.context_extensions["scalelb.x-plan"] = "basic"
-        call = g.call(asked, timeout=60)
-        await g.taken(1)
-        g.back.run()
+def test_attributes_set_by_the_gateway_override_the_headers_of_the_client() -> None:
+    async def scenario(gateway: Gateway) -> None:
+        request = check_request(x_plan="forged")
+        request.attributes.context_extensions["scalelb.x-plan"] = "basic"
+        call = gateway.call(request, timeout=60)
+        await gateway.wait_for_requests(1)
+        gateway.harness.run()
         assert (await call).status.code == code_pb2.OK
 
-    play(story)
+    run_scenario(scenario)
 
 
-def held(g: Gateway) -> int:
-    return sum(len(c.queue.requests) for c in g.back.core.limiter.tenants.tenants.values())
+def queued_count(gateway: Gateway) -> int:
+    return sum(len(tenant.queue.requests) for tenant in gateway.harness.core.limiter.tenants.tenants.values())
 
 
-async def use_up(g: Gateway) -> None:
-    """Ask until one is held; it is left waiting."""
+async def use_up_quota(gateway: Gateway) -> None:
+    """Send requests until one is queued; its call stays open as `gateway.queued_call`."""
     for _ in range(40):
-        before = g.back.core.open_requests.last_id
-        g.waiting = g.call(question(x_quota="units=3", x_timeout="4"), timeout=60)  # type: ignore[attr-defined]
-        await g.taken(before + 1)
-        g.back.run()
-        if held(g):
+        last_id = gateway.harness.core.open_requests.last_id
+        gateway.queued_call = gateway.call(check_request(x_quota="units=3", x_timeout="4"), timeout=60)  # type: ignore[attr-defined]
+        await gateway.wait_for_requests(last_id + 1)
+        gateway.harness.run()
+        if queued_count(gateway):
             return
-        await g.waiting  # type: ignore[attr-defined]
-    raise AssertionError("nothing was held")
+        await gateway.queued_call  # type: ignore[attr-defined]
+    raise AssertionError("no request was queued")
 
 
-async def left(g: Gateway) -> None:
-    """Until the core knows that the caller has gone."""
-    while not g.back.core.counts.get("gone"):
+async def wait_for_cancellation(gateway: Gateway) -> None:
+    """Wait until the core has counted a cancelled request."""
+    while not gateway.harness.core.counts.get("gone"):
         await asyncio.sleep(0.001)
-    g.back.run()
-
-
-@pytest.mark.parametrize("silent", [False, True], ids=["counter answers", "counter silent"])
-def test_a_caller_that_cancels_while_held_spends_nothing(silent: bool) -> None:
-    async def story(g: Gateway) -> None:
-        g.back.counter.silent = silent
-        await use_up(g)
-        ada = g.back.core.limiter.tenants.tenants[ADA]
-        calls, before = (
-            g.back.counter.calls,
-            (ada.bucket.balance, ada.bucket.leased, ada.bucket.unreported, ada.queue.units),
+    gateway.harness.run()
+
+
+@pytest.mark.parametrize("is_unresponsive", [False, True], ids=["counter answers", "counter unresponsive"])
+def test_call_cancelled_while_queued_is_charged_nothing(is_unresponsive: bool) -> None:
+    async def scenario(gateway: Gateway) -> None:
+        gateway.harness.counter.silent = is_unresponsive
+        await use_up_quota(gateway)
+        tenant = gateway.harness.core.limiter.tenants.tenants[TENANT_ID]
+        counter_calls, balances = (
+            gateway.harness.counter.calls,
+            (tenant.bucket.balance, tenant.bucket.leased, tenant.bucket.unreported, tenant.queue.units),
         )
-        g.waiting.cancel()  # type: ignore[attr-defined]
-        await left(g)
-        assert (ada.bucket.balance, ada.bucket.leased, ada.bucket.unreported) == before[:3]
-        assert not ada.queue.requests
-        assert g.back.counter.calls == calls
-        g.back.run(5000.0)
-        assert not g.back.core.open_requests
-
-    play(story, Backside(replace(SITE, limiter_count=3), Counter()))
-
-
-def test_a_caller_that_cancels_after_the_decision_has_spent_all_of_it() -> None:
-    async def story(g: Gateway) -> None:
-        call = g.call(question(x_quota="units=3"), timeout=60)
-        await g.taken(1)
-        g.back.run()  # admitted; the answer is still on its way
-        after = g.back.core.limiter.tenants.tenants[ADA].bucket.balance
+        gateway.queued_call.cancel()  # type: ignore[attr-defined]
+        await wait_for_cancellation(gateway)
+        assert (tenant.bucket.balance, tenant.bucket.leased, tenant.bucket.unreported) == balances[:3]
+        assert not tenant.queue.requests
+        assert gateway.harness.counter.calls == counter_calls
+        gateway.harness.run(5000.0)
+        assert not gateway.harness.core.open_requests
+
+    run_scenario(scenario, Backside(replace(SITE, limiter_count=3), Counter()))
+
+
+def test_call_cancelled_after_the_decision_is_charged_in_full() -> None:
+    async def scenario(gateway: Gateway) -> None:
+        call = gateway.call(check_request(x_quota="units=3"), timeout=60)
+        await gateway.wait_for_requests(1)
+        gateway.harness.run()  # admitted; the response has not arrived yet
+        balance = gateway.harness.core.limiter.tenants.tenants[TENANT_ID].bucket.balance
         call.cancel()
         await asyncio.sleep(0.02)
-        g.back.run()
-        assert g.back.core.limiter.tenants.tenants[ADA].bucket.balance == after
-        assert g.back.core.counts["admitted"] == 1
-
-    play(story)
-
-
-def test_the_callers_deadline_binds() -> None:
-    async def story(g: Gateway) -> None:
-        await use_up(g)
-        asked = g.back.core.open_requests.last_id
-        asking = question(x_quota="units=6", x_priority_class="fetch-cards", x_timeout="0.3")
-        late = g.call(asking, timeout=60)
-        await g.taken(asked + 1)
-        g.back.run()
-        g.back.run(300.0)  # its time is up on the limiter's clock; the class would have allowed 7.5 s
-        answer = await late
-        assert answer.denied_response.status.code == 429
-        g.back.run(5000.0)
-        assert await g.waiting  # type: ignore[attr-defined]
-        assert not g.back.core.open_requests
-
-    play(story, Backside(replace(SITE, has_counter=False, limiter_count=3)))
-
-
-def test_a_grpc_deadline_ends_the_wait() -> None:
-    async def story(g: Gateway) -> None:
-        await use_up(g)
+        gateway.harness.run()
+        assert gateway.harness.core.limiter.tenants.tenants[TENANT_ID].bucket.balance == balance
+        assert gateway.harness.core.counts["admitted"] == 1
+
+    run_scenario(scenario)
+
+
+def test_timeout_of_the_caller_applies_if_it_is_shorter_than_that_of_the_class() -> None:
+    async def scenario(gateway: Gateway) -> None:
+        await use_up_quota(gateway)
+        last_id = gateway.harness.core.open_requests.last_id
+        request = check_request(x_quota="units=6", x_priority_class="fetch-cards", x_timeout="0.3")
+        call = gateway.call(request, timeout=60)
+        await gateway.wait_for_requests(last_id + 1)
+        gateway.harness.run()
+        # The timeout expires on the limiter's clock; the class would have allowed 7.5 s.
+        gateway.harness.run(300.0)
+        response = await call
+        assert response.denied_response.status.code == 429
+        gateway.harness.run(5000.0)
+        assert await gateway.queued_call  # type: ignore[attr-defined]
+        assert not gateway.harness.core.open_requests
+
+    run_scenario(scenario, Backside(replace(SITE, has_counter=False, limiter_count=3)))
+
+
+def test_grpc_deadline_ends_a_queued_call() -> None:
+    async def scenario(gateway: Gateway) -> None:
+        await use_up_quota(gateway)
         with pytest.raises(grpc.aio.AioRpcError) as error:
-            await g.call(question(x_quota="units=6"), timeout=0.2)  # the limiter's clock stands still
+            # The limiter's clock does not advance meanwhile.
+            await gateway.call(check_request(x_quota="units=6"), timeout=0.2)
         assert error.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED
-        await left(g)
-        g.back.run(5000.0)
-        assert await g.waiting  # type: ignore[attr-defined]
-        assert not g.back.core.open_requests
+        await wait_for_cancellation(gateway)
+        gateway.harness.run(5000.0)
+        assert await gateway.queued_call  # type: ignore[attr-defined]
+        assert not gateway.harness.core.open_requests
 
-    play(story, Backside(replace(SITE, has_counter=False, limiter_count=3)))
+    run_scenario(scenario, Backside(replace(SITE, has_counter=False, limiter_count=3)))
 
 
-def test_a_silent_counter_does_not_stop_decisions() -> None:
-    async def story(g: Gateway) -> None:
-        g.back.counter.silent = True
+def test_requests_are_admitted_while_the_counter_is_unresponsive() -> None:
+    async def scenario(gateway: Gateway) -> None:
+        gateway.harness.counter.silent = True
         for _ in range(12):
-            await g.ask(1000.0, x_quota="units=6")
-        tally = g.back.core.counts
-        assert tally["counter timeout"] > 0
-        assert tally["admitted"] >= 4
+            await gateway.check(1000.0, x_quota="units=6")
+        counts = gateway.harness.core.counts
+        assert counts["counter timeout"] > 0
+        assert counts["admitted"] >= 4
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_restart_begins_with_nothing_and_serves() -> None:
+def test_limiter_restarted_without_state_admits_requests() -> None:
     counter = Counter()
-    for start in (1e6, 1e6 + 500.0):
-        back = Backside(SITE, counter, start)
+    for started_at in (1e6, 1e6 + 500.0):
+        harness = Backside(SITE, counter, started_at)
 
-        async def story(g: Gateway) -> None:
-            assert (await g.ask()).status.code == code_pb2.OK
-            g.back.run(100.0)
+        async def scenario(gateway: Gateway) -> None:
+            assert (await gateway.check()).status.code == code_pb2.OK
+            gateway.harness.run(100.0)
 
-        play(story, back)
+        run_scenario(scenario, harness)
     assert sum(counter.numbers.values()) <= 2 * 16.0
 
 
-def test_a_stop_shows_and_what_was_taken_is_finished() -> None:
-    async def story(g: Gateway) -> None:
-        stub = health_pb2_grpc.HealthStub(g.channel)
-        await g.front.tell(Status.READY)
-        ask = health_pb2.HealthCheckRequest(service="envoy.service.auth.v3.Authorization")
-        assert (await stub.Check(ask)).status == health_pb2.HealthCheckResponse.SERVING
-        await use_up(g)
-        await g.front.tell(Status.DRAINING)
-        assert (await stub.Check(ask)).status == health_pb2.HealthCheckResponse.NOT_SERVING
-        stopping = asyncio.ensure_future(g.front.stop(30.0))
+def test_graceful_shutdown_shows_in_health_checks_and_finishes_open_calls() -> None:
+    async def scenario(gateway: Gateway) -> None:
+        stub = health_pb2_grpc.HealthStub(gateway.channel)
+        await gateway.front_end.tell(Status.READY)
+        health_request = health_pb2.HealthCheckRequest(service="envoy.service.auth.v3.Authorization")
+        assert (await stub.Check(health_request)).status == health_pb2.HealthCheckResponse.SERVING
+        await use_up_quota(gateway)
+        await gateway.front_end.tell(Status.DRAINING)
+        assert (await stub.Check(health_request)).status == health_pb2.HealthCheckResponse.NOT_SERVING
+        stopping = asyncio.ensure_future(gateway.front_end.stop(30.0))
         await asyncio.sleep(0.01)
-        g.back.run(4000.0)
-        answer = await g.waiting  # type: ignore[attr-defined]
-        assert answer.WhichOneof("http_response")
+        gateway.harness.run(4000.0)
+        response = await gateway.queued_call  # type: ignore[attr-defined]
+        assert response.WhichOneof("http_response")
         await stopping
 
-    play(story, Backside(replace(SITE, has_counter=False, limiter_count=3)))
+    run_scenario(scenario, Backside(replace(SITE, has_counter=False, limiter_count=3)))
 
 
-@pytest.mark.parametrize(("first", "second", "counted"), [(0, 1, 1), (1, 0, 1), (0, 0, 2), (1, 1, 2)])
-def test_a_retry_through_the_other_door_counts_once(first: int, second: int, counted: int) -> None:
-    async def story(g: Gateway) -> None:
-        for door in (first, second):
-            if door:
-                answer = await g.ask(x_quota="units=2", idempotency_key="k1")
-                assert answer.status.code == code_pb2.OK
+@pytest.mark.parametrize(
+    ("first", "second", "charged_requests"), [(0, 1, 1), (1, 0, 1), (0, 0, 2), (1, 1, 2)]
+)
+def test_duplicate_through_the_other_listener_is_charged_once(
+    first: int, second: int, charged_requests: int
+) -> None:
+    async def scenario(gateway: Gateway) -> None:
+        for listener in (first, second):
+            if listener:
+                response = await gateway.check(x_quota="units=2", idempotency_key="k1")
+                assert response.status.code == code_pb2.OK
             else:
-                through_platform(g.back, "k1")
-        ada = g.back.core.limiter.tenants.tenants[ADA]
-        charged = (
-            ada.bucket.capacity() / ada.bucket.sharing_limiters - ada.bucket.balance
-        )  # time stands still: no credit came in
-        assert charged == 2.0 * counted
+                submit_through_platform_listener(gateway.harness, "k1")
+        tenant = gateway.harness.core.limiter.tenants.tenants[TENANT_ID]
+        # The clock does not advance, so that there is no refill.
+        charged = tenant.bucket.capacity() / tenant.bucket.sharing_limiters - tenant.bucket.balance
+        assert charged == 2.0 * charged_requests
 
-    play(story, Backside(replace(SITE, plans=(Plan(rate_per_s=4.0, burst=100.0),))))
+    run_scenario(scenario, Backside(replace(SITE, plans=(Plan(rate_per_s=4.0, burst=100.0),))))
 
 
-def through_platform(back: Backside, key: str) -> None:
+def submit_through_platform_listener(harness: Backside, key: str) -> None:
     class Client:
         def on_answer(self, *_: Any) -> None: ...
 
     incoming = IncomingRequest(
-        tenant=ADA, plan_index=0, class_index=1, expires_in_ms=4000.0, units=2.0, idempotency_key=key
+        tenant=TENANT_ID, plan_index=0, class_index=1, expires_in_ms=4000.0, units=2.0, idempotency_key=key
     )
-    back.core.submit(Client(), None, incoming)
-    back.run()
+    harness.core.submit(Client(), None, incoming)
+    harness.run()
