--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -1,4 +1,4 @@
-"""`scripts/readability`: what it counts, and what it lets pass."""
+"""`scripts/readability`: what it counts and what it does not count."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 LONG_BODY = "    pass\n" * 9
 
 
-def run(checkout: Path, *arguments: str) -> str:
+def run_script(checkout: Path, *arguments: str) -> str:
     command = [sys.executable, str(SCRIPT), str(checkout), *arguments]
     return subprocess.run(command, capture_output=True, text=True, check=True).stdout
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("column", "source", "found"),
+    ("column", "source", "count"),
     [
         ("files", "x = 1\n" * 401, 1),
         ("files", "x = 1\n" * 400, 0),
@@ -51,25 +51,27 @@
         ("stories", 'def f():\n    """Retries an attempt."""\n', 0),
     ],
 )
-def test_column_counts_by_its_definition(checkout: Path, column: str, source: str, found: int) -> None:
+def test_column_counts_what_its_definition_says(checkout: Path, column: str, source: str, count: int) -> None:
     (checkout / "scalelb" / "part" / "module.py").write_text(source)
-    assert len(run(checkout, "--list", column).splitlines()) == found
+    assert len(run_script(checkout, "--list", column).splitlines()) == count
 
 
 @pytest.mark.parametrize(
-    ("import_line", "found"),
+    ("import_line", "count"),
     [("from scalelb.part import one", 1), ("from . import one", 1), ("import os", 0)],
 )
-def test_modules_that_import_each_other_are_one_circle(checkout: Path, import_line: str, found: int) -> None:
+def test_modules_that_import_each_other_count_as_one_circle(
+    checkout: Path, import_line: str, count: int
+) -> None:
     (checkout / "scalelb" / "part" / "one.py").write_text("def f():\n    import scalelb.part.two\n")
     (checkout / "scalelb" / "part" / "two.py").write_text(import_line + "\n")
-    assert len(run(checkout, "--list", "circles").splitlines()) == found
+    assert len(run_script(checkout, "--list", "circles").splitlines()) == count
 
 
-def test_table_has_a_row_for_each_package_and_leaves_generated_files_out(checkout: Path) -> None:
+def test_table_has_a_row_for_each_package_and_skips_generated_files(checkout: Path) -> None:
     (checkout / "scalelb" / "main.py").write_text("a, b = 1, 2\n")
     (checkout / "scalelb" / "part" / "message_pb2.py").write_text("a, b = 1, 2\n")
-    rows = run(checkout).splitlines()[2:]
+    rows = run_script(checkout).splitlines()[2:]
     assert rows == [
         "| . | 0 | 0 | 0 | 1 | 0 | 0 | 0 | 0 | 0 |",
         "| part | 0 | 0 | 0 | 0 | 0 | 0 | 0 | 0 | 0 |",
