--- a/scalelb/middleware/host.py
+++ b/scalelb/middleware/host.py
@@ -23,7 +23,7 @@
     """Owns a core that only admits requests, and implements its ports on the event loop.
 
     `add` calls the counter; if it is None, quotas apply to this process alone. `clock` returns milliseconds;
-    `door` are the settings of the admission queue, None to run without one."""
+    `door` holds the settings of the admission queue; if it is None, there is no queue."""
 
     def __init__(
         self,
--- a/scalelb/protocol/resp.py
+++ b/scalelb/protocol/resp.py
@@ -192,11 +192,11 @@
     first_limiter: int  # index of the first of these
     idempotency_key: str  # empty: none
     is_retry: bool
-    raw: bytes  # the command as received; the positions below are in it
-    list_header_start: int  # the length of the list of values
-    list_start: int  # the list itself
+    raw: bytes  # the command as received; the fields below are positions in it
+    list_header_start: int  # where the length of the list of values starts
+    list_start: int  # where the list itself starts
     list_end: int
-    timeout_start: int  # the digits of `d` in the list
+    timeout_start: int  # where the digits of `d` start in the list
     timeout_end: int
 
     @classmethod
