--- a/scalelb/lab/experiment.py
+++ b/scalelb/lab/experiment.py
@@ -214,7 +214,7 @@
     return {
         "rate": node.number("rate"),
         "burst": node.number("burst"),
-        "at_once": node.whole("at_once", 0, 0),
+        "at_once": node.integer("at_once", 0, 0),
         "price": node.number("price", 0.0, 1.0),
     }
 
@@ -285,14 +285,14 @@
     value = node.get(key, list(usual))
     if not isinstance(value, list) or not value:
         raise ConfigError(f"{node.at(key)}: must be a list of numbers")
-    return tuple(Node({key: item}, node.path).number(key, above=True) for item in value)
+    return tuple(Node({key: item}, node.path).number(key, is_exclusive=True) for item in value)
 
 
 def _within(
     node: Node, key: str, least: float, most: float, usual: float | None = None, whole: bool = False
 ) -> float:
     if whole:
-        value: float = node.whole(key, 0, None if usual is None else int(usual))
+        value: float = node.integer(key, 0, None if usual is None else int(usual))
     else:
         value = node.number(key, 0.0, usual)
     if not least <= value <= most:
--- a/scalelb/lab/schedule.py
+++ b/scalelb/lab/schedule.py
@@ -79,7 +79,7 @@
     if unknown := sorted(set(top.value) - set(known.split())):
         raise ConfigError(f"{unknown[0]}: not known; there are {known.replace(' ', ', ')}")
     plan, load = top.node("plan", {}), top.node("load", {})
-    limiters = top.whole("limiters", 2, 3)
+    limiters = top.integer("limiters", 2, 3)
     if limiters > LIMITERS_MOST:
         raise ConfigError(f"limiters: must be at most {LIMITERS_MOST}, not {limiters}")
     steps = top.nodes("step", 1)
@@ -89,12 +89,12 @@
     return Schedule(
         name=top.text("name", path.stem),
         limiters=limiters,
-        seed=top.whole("seed", 0, 1),
+        seed=top.integer("seed", 0, 1),
         linked=top.flag("linked", True),
         rate=plan.number("rate", 0.0, 4.0),
         burst=plan.number("burst", 1.0, 16.0),
         per_s=load.number("per_s", 0.1, 40.0),
-        customers=load.whole("customers", 1, 20),
+        customers=load.integer("customers", 1, 20),
         keyed=load.number("keyed", 0.0, 0.2),
         bound=top.number("bound", 1.0, 1.5),
         steps=(*(_step(node, names) for node in steps), *_kills(top, names)),
@@ -104,13 +104,13 @@
 def _kills(top: Node, names: list[str]) -> list[Step]:
     """`[kills]`: so many limiters, drawn from the seed, each killed after some answers and started anew."""
     told = top.node("kills", {"count": 0})
-    drawn, count = random.Random(f"kills {top.whole('seed', 0, 1)}"), told.whole("count", 0, 0)
+    drawn, count = random.Random(f"kills {top.integer('seed', 0, 1)}"), told.integer("count", 0, 0)
     if count > KILLS_MOST:
         raise ConfigError(f"{told.at('count')}: must be {KILLS_MOST} at most, not {count}")
     steps = []
     for _ in range(count):
         name = drawn.choice(names)
-        kill = {"answers": told.whole("answers", 1, 20), "do": "kill", "of": name}
+        kill = {"answers": told.integer("answers", 1, 20), "do": "kill", "of": name}
         steps.append(_step(Node(kill, ""), names))
         steps.append(_step(Node({"do": "start", "of": name}, ""), names))
     return steps
@@ -137,7 +137,7 @@
     return Step(
         wait=wait,
         what=node.text("log", "") if wait == "log" else "",
-        count=node.whole(wait, 1) if wait in ("answers", "messages") else node.whole("count", 1, 1),
+        count=node.integer(wait, 1) if wait in ("answers", "messages") else node.integer("count", 1, 1),
         source=node.text("source", ""),
         target=node.text("target", ""),
         do=do,
--- a/scalelb/program/__init__.py
+++ b/scalelb/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: configuration, log, loop, start and stop."""
+"""The daemon of one limiter: configuration, logging, event loop, start and graceful shutdown."""
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -1,4 +1,4 @@
-"""Start and stop of one limiter: `python -m scalelb.program`."""
+"""Starts and stops one limiter: `python -m scalelb.program`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 from scalelb.policy.handover import leave_handover, take_handover
 from scalelb.program.config import Config, ConfigError, compare, read_config
-from scalelb.program.log import Bounded, log
+from scalelb.program.log import RateLimitedLog, log
 from scalelb.program.loop import Loop, unix_clock
 from scalelb.program.predecessor import Incarnation
 from scalelb.protocol.agentcheck import Status
@@ -33,21 +33,26 @@
     from scalelb.program.peer_connections import PeerConnections
     from scalelb.transport.authz.front import GrpcFront
 
-SWEEP_S, SWEEP_FULL_S, TALLY_S = 0.25, 0.03, 5.0  # house-keeping; while new clients wait; log
-KNOWN_S = 0.6  # how long the director's first word is waited for where an old list is known
-TAKE_OVER_S = 2.0  # an incarnation that was told to stop hands over within it
-TAKE_OVER_LOOK_S = 0.01  # between two looks for its account
-OVERLAP_S = 4.0  # that two incarnations may run at once: the longest deadline, 3 s at most, and 0.7 s
-OPEN_S = 0.005  # the loop has waited once by then
-LINGER_S = 0.7  # how long a stopping limiter takes what comes: the front has not noticed yet
-KILL_AFTER_MOST_S = 3.0  # after SIGTERM and `LINGER_S` no kill is waited with longer than this, or than the
-# longest deadline where that is shorter
-KILL_MARGIN_S = 0.25  # answers are out so long before the kill: the limiter may be held up for 0.15 s
-BACKLOG = 512
+# Seconds between sweeps of connections, between sweeps while new clients wait, and between tally log lines.
+SWEEP_INTERVAL_S, FULL_SWEEP_INTERVAL_S, TALLY_INTERVAL_S = 0.25, 0.03, 5.0
+# A limiter that starts with a configured endpoint list waits this long for discovery's first answer.
+FIRST_LIST_TIMEOUT_S = 0.6
+HANDOVER_TIMEOUT_S = 2.0  # A predecessor that received SIGTERM hands over within this time.
+HANDOVER_POLL_INTERVAL_S = 0.01
+# Two incarnations run at once for at most this long: the longest deadline (up to 3 s) plus 0.7 s of grace.
+MAX_OVERLAP_S = 4.0
+LISTEN_DELAY_S = 0.005  # The reactor has completed one iteration by then.
+# Seconds after SIGTERM in which requests are still accepted: load balancers have not noticed the drain yet.
+SHUTDOWN_GRACE_S = 0.7
+# After `SHUTDOWN_GRACE_S` the kill is delayed by the longest deadline, but by no more than this.
+MAX_DRAIN_S = 3.0
+# Seconds before the kill by which all answers are sent: the limiter may be stalled for 0.15 s.
+KILL_MARGIN_S = 0.25
+BACKLOG = 512  # Connections that the kernel queues for each listener.
 
 
 class Program:
-    """One limiter from start to stop."""
+    """One limiter process, from start to stop."""
 
     def __init__(
         self, config: Config, reactor: Any, clock: Callable[[], float] | None = None, log: Log = log
@@ -60,56 +65,61 @@
         self.asyncio_loop: Any = getattr(reactor, "_asyncioEventloop", None)
         self.grpc: GrpcFront | None = None
         self.ports: dict[str, Any] = {}
-        self.door = Door(
+        self.listener = Door(
             self.loop.core,
             list(config.kinds),
             list(config.plans),
             self.ready,
             log,
-            sessions_most=config.sessions_most,
-            held_most=config.held_most,
-            ahead_most=config.ahead_most,
+            sessions_most=config.max_sessions,
+            held_most=config.max_open_request_bytes,
+            ahead_most=config.max_read_ahead_bytes,
             clients_most=config.sockets // 3,
             keyed=bool(fronts.external_authorization),
             metrics=self.loop.metrics,
         )
-        self.incarnation: Incarnation | None = None  # none: no folder is shared with others
+        self.incarnation: Incarnation | None = None  # None without a folder shared with other incarnations
         if config.shared:
             self.incarnation = Incarnation(config.shared, log)
             self.incarnation.register()
             self.merge_overrides()
             self.incarnation.remove_stale_files()
-        self.links: PeerConnections | None = None
+        self.peer_connections: PeerConnections | None = None
         if config.peers is not None:
             from scalelb.program.peer_connections import PeerConnections
 
-            self.links = PeerConnections(reactor, self.loop, config.name, config.peers, self.log)
-        self.waiting = 0.0  # since when the predecessor is waited for (s of the reactor)
+            self.peer_connections = PeerConnections(reactor, self.loop, config.name, config.peers, self.log)
+        # Reactor time at which the wait for the predecessor's handover began; 0: there is none.
+        self.waiting_since_s = 0.0
         self.admin: AdminDoor | None = None
         if fronts.external_authorization or fronts.grpc_health:
             from scalelb.transport.authz.front import Authorization, GrpcFront
 
             check = Authorization(self.loop.core, config.kinds, config.plans, self.ready, log)
             self.grpc = GrpcFront(check, fronts.external_authorization, fronts.grpc_health, log)
-        asked = config.settings.discovery_silence_ms if config.settings.subscribes_to_endpoints else 0.0
-        pace = Pace(config.settings.limiter_count, Random(f"director {config.seed}"), asked)
-        self.director = DirectorWatch(reactor, config.director, config.generation, self.told, log, pace)
-        self.heard = False  # the director's word
-        self.cpu = 0.0
+        max_silence_ms = (
+            config.settings.discovery_silence_ms if config.settings.subscribes_to_endpoints else 0.0
+        )
+        pace = Pace(config.settings.limiter_count, Random(f"director {config.seed}"), max_silence_ms)
+        self.discovery = DirectorWatch(
+            reactor, config.director, config.generation, self.on_endpoint_list, log, pace
+        )
+        self.has_endpoint_list = False  # whether discovery has answered
+        self.cpu_s = 0.0  # CPU time of the process at the last tally
         self.tasks: set[Any] = set()
         self.status_code = 0
-        self.reread: Callable[[], Config] = lambda: read_config(again=True)
+        self.reread: Callable[[], Config] = lambda: read_config(is_reload=True)
 
     def listen(self) -> None:
         """Bind the addresses."""
-        has_predecessor = self.incarnation is not None and self.incarnation.predecessor != 0
-        if has_predecessor and self.config.inherited is not None:
-            self.halve()
-            self.waiting = self.reactor.seconds()
+        has_running_predecessor = self.incarnation is not None and self.incarnation.predecessor != 0
+        if has_running_predecessor and self.config.inherited is not None:
+            self.halve_connection_limits()
+            self.waiting_since_s = self.reactor.seconds()
             self.take_over()
         else:
-            self.accept()
-        if self.links is not None:
+            self.accept_clients()
+        if self.peer_connections is not None:
             self.listen_for_peers()
         if self.config.admin:
             host, port = host_port(self.config.admin)
@@ -119,95 +129,101 @@
         for name, address in (("agent_check", fronts.agent_check), ("http_health", fronts.http_health)):
             if address:
                 host, port = host_port(address)
-                factory = StatusFactory(self.reactor, self.tell_status, self.log, agent=name == "agent_check")
+                factory = StatusFactory(
+                    self.reactor, self.health_status, self.log, agent=name == "agent_check"
+                )
                 self.ports[name] = self.reactor.listenTCP(port, factory, BACKLOG, host)
-        told = {name: port.getHost().port for name, port in self.ports.items()}
-        door = self.door.port
-        bound = door.getHost().port if door is not None else None
-        self.log("started", name=self.config.name, port=bound, fronts=told)
+        bound_ports = {name: port.getHost().port for name, port in self.ports.items()}
+        client_port = self.listener.port
+        number = client_port.getHost().port if client_port is not None else None
+        self.log("started", name=self.config.name, port=number, fronts=bound_ports)
 
     def listen_for_peers(self) -> None:
-        """Let peers come, once a predecessor that runs has left the address to this incarnation."""
-        assert self.links is not None
+        """Listen for peers. While a predecessor still holds the address, try again until it is released."""
+        assert self.peer_connections is not None
         try:
-            self.ports["peers"] = self.links.listen()
+            self.ports["peers"] = self.peer_connections.listen()
         except CannotListenError:
             if self.incarnation is None or not self.incarnation.predecessor_is_running():
                 raise
-            self.reactor.callLater(TAKE_OVER_LOOK_S, self.listen_for_peers)
+            self.reactor.callLater(HANDOVER_POLL_INTERVAL_S, self.listen_for_peers)
 
-    def accept(self) -> None:
-        """Let clients come: on the platform's socket where it has handed one over, else on one of our own."""
-        heir = self.config.inherited
-        if heir is None:
+    def accept_clients(self) -> None:
+        """Accept clients on the socket inherited from the platform, or else on a socket of this process."""
+        inherited_descriptor = self.config.inherited
+        if inherited_descriptor is None:
             host, port = host_port(self.config.listen)
-            self.door.port = self.reactor.listenTCP(port, self.door, BACKLOG, host)
+            self.listener.port = self.reactor.listenTCP(port, self.listener, BACKLOG, host)
             return
-        with socket.socket(fileno=os.dup(heir)) as held:
-            held.setblocking(False)
-            self.door.port = self.reactor.adoptStreamPort(held.fileno(), held.family, self.door)
+        with socket.socket(fileno=os.dup(inherited_descriptor)) as inherited:
+            inherited.setblocking(False)
+            self.listener.port = self.reactor.adoptStreamPort(
+                inherited.fileno(), inherited.family, self.listener
+            )
 
     # Two incarnations of one limiter
 
     def take_over(self) -> None:
-        """Accept clients once the predecessor takes nothing new, has ended, or can't be waited for any more.
-        While it serves, the units on hand are its own: both would spend them."""
+        """Accept clients once the predecessor has handed over or ended, or the wait for it has timed out.
+
+        While the predecessor serves, the unspent units belong to it: otherwise both would spend them."""
         incarnation = self.incarnation
         assert incarnation is not None
-        if self.door.closing:
+        if self.listener.closing:
             return
-        # Asked before its account is looked for, as it may leave one and end in between.
+        # Checked before the handover is read: the predecessor may write it and end in between.
         predecessor_runs = incarnation.predecessor_is_running()
-        account = incarnation.read_handover()
-        late = self.ready() and self.reactor.seconds() - self.waiting > TAKE_OVER_S
-        if not self.ready() or (predecessor_runs and account is None and not late):
+        handover = incarnation.read_handover()
+        is_timed_out = self.ready() and self.reactor.seconds() - self.waiting_since_s > HANDOVER_TIMEOUT_S
+        if not self.ready() or (predecessor_runs and handover is None and not is_timed_out):
             if not self.ready():
-                self.waiting = self.reactor.seconds()
-            self.reactor.callLater(TAKE_OVER_LOOK_S, self.take_over)
+                self.waiting_since_s = self.reactor.seconds()
+            self.reactor.callLater(HANDOVER_POLL_INTERVAL_S, self.take_over)
             return
         now = self.loop.clock()
         limiter = self.loop.core.limiter
-        taken, faulty = take_handover(limiter, account, now) if account else (0, 0)
-        if account is None and predecessor_runs:
-            # Nobody gets a fresh share of its quota beside the one that the predecessor still grants.
-            limiter.tenants.records.unknown_start_empty_until = now + 1000 * OVERLAP_S
-        self.accept()
-        has_account = account is not None
-        self.log("taken over", lives=predecessor_runs, told=has_account, entries=taken, faulty=faulty)
-        self.alone()
-
-    def halve(self) -> None:
-        """While two incarnations run, each has half of the descriptors that one has."""
-        self.bound(0.5)
-
-    def alone(self) -> None:
-        """All of it again, once the predecessor has ended."""
+        restored, faulty = take_handover(limiter, handover, now) if handover else (0, 0)
+        if handover is None and predecessor_runs:
+            # The predecessor still grants quota: no tenant may get a second, full balance here.
+            limiter.tenants.records.unknown_start_empty_until = now + 1000 * MAX_OVERLAP_S
+        self.accept_clients()
+        has_handover = handover is not None
+        self.log("taken over", lives=predecessor_runs, told=has_handover, entries=restored, faulty=faulty)
+        self.restore_connection_limits()
+
+    def halve_connection_limits(self) -> None:
+        """Halve the connection limits: while two incarnations run, they share the descriptors of one."""
+        self.scale_connection_limits(0.5)
+
+    def restore_connection_limits(self) -> None:
+        """Restore the full connection limits once the predecessor has ended."""
         if self.incarnation is not None and self.incarnation.predecessor_is_running():
-            self.reactor.callLater(SWEEP_S, self.alone)
+            self.reactor.callLater(SWEEP_INTERVAL_S, self.restore_connection_limits)
         else:
-            self.bound(1.0)
+            self.scale_connection_limits(1.0)
 
-    def bound(self, part: float) -> None:
-        """Bound sessions and connections to a part of what is configured."""
-        self.door.sessions_most = max(1, int(part * self.config.sessions_most))
-        most = max(1, int(part * self.config.connections_most))
-        self.loop.pool.limits = replace(self.loop.pool.limits, connections=most)
+    def scale_connection_limits(self, ratio: float) -> None:
+        """Limit sessions and backend connections to `ratio` of what is configured."""
+        self.listener.sessions_most = max(1, int(ratio * self.config.max_sessions))
+        max_connections = max(1, int(ratio * self.config.max_backend_connections))
+        self.loop.pool.limits = replace(self.loop.pool.limits, connections=max_connections)
 
     def hand_over(self) -> None:
-        """A successor serves: take nothing new, leave it what is on hand, finish the rest."""
+        """Hand over to a successor that is ready: stop accepting, leave it the unspent units, and finish the
+        requests in flight."""
         assert self.incarnation is not None
         self.loop.core.turn()
-        account = leave_handover(self.loop.core.limiter, self.loop.clock())
-        self.incarnation.hand_over(account)
-        if self.links is not None:
-            self.links.stop()  # the successor binds its address
+        handover = leave_handover(self.loop.core.limiter, self.loop.clock())
+        self.incarnation.hand_over(handover)
+        if self.peer_connections is not None:
+            self.peer_connections.stop()  # The successor binds the same address.
         self.loop.pool.rest_no_longer()
-        self.halve()
-        self.log("relieved", customers=len(account["customers"]), open=len(self.loop.core.open_requests))
+        self.halve_connection_limits()
+        self.log("relieved", customers=len(handover["customers"]), open=len(self.loop.core.open_requests))
         self.finish()
 
     def merge_overrides(self) -> None:
-        """Take in what other incarnations know of ejections by operators."""
+        """Merge the manual overrides that other incarnations have published."""
         assert self.incarnation is not None
         overrides = self.loop.overrides
         copies = self.incarnation.read_overrides()
@@ -218,8 +234,10 @@
             self.log("bans", joined=changed[:20], count=len(changed))
 
     def override_endpoint(self, endpoint: str, is_ejected: bool) -> int:
-        """Eject an endpoint by hand, or undo that: an HTTP status.  200 only once other incarnations can read
-        it: else an upgrade would put the endpoint back."""
+        """Eject an endpoint by manual override, or undo that; return an HTTP status.
+
+        The status is 200 only once other incarnations can read the override: otherwise an upgrade would undo
+        it."""
         overrides = self.loop.overrides
         before = overrides.by_endpoint.get(endpoint)
         if not overrides.set_by_operator(endpoint, is_ejected, self.loop.clock()):
@@ -236,30 +254,32 @@
                 overrides.by_endpoint[endpoint] = before
             return 503
         self.loop.overrides_changed([endpoint])
-        if self.links is not None:
-            self.links.say(endpoint)
+        if self.peer_connections is not None:
+            self.peer_connections.publish_override(endpoint)
         self.log("ban", server=endpoint, out=is_ejected)
         return 200
 
     def stats(self) -> dict[str, Any]:
-        """The figures that staff asks for, as they are now."""
+        """Return the current figures for the operator API."""
         metrics, pool = self.loop.metrics, self.loop.pool
         return {
             "responses": metrics.by_class(self.config.kinds),
             "tries": sum(metrics.attempts),
-            "active": self.door.active(),
+            "active": self.listener.active(),
             "pool_size": len(pool.backends),
-            "pool_ejected": self.loop.ejected(),
+            "pool_ejected": self.loop.ejected_count(),
         }
 
     def begin(self) -> None:
-        """Learn of the backends, then let clients come."""
+        """Start discovery, then open the listeners."""
         self.start()
-        self.reactor.callLater(OPEN_S, self.open)
+        self.reactor.callLater(LISTEN_DELAY_S, self.open_listeners)
 
-    def open(self) -> None:
-        """Bind the addresses, as the start's work is done.  Guards the clients' time: a port that is bound
-        before lets the kernel accept connections, and what they ask lies unread while it counts."""
+    def open_listeners(self) -> None:
+        """Bind the addresses, now that the work of the start is done.
+
+        On a port that is bound earlier, the kernel accepts connections whose requests stay unread while their
+        deadlines run."""
         try:
             self.listen()
         except (OSError, CannotListenError) as fault:
@@ -268,56 +288,56 @@
             self.reactor.stop()
         else:
             if self.grpc is not None:
-                self.task(self.grpc.start())
-            self.set_ready(self.heard)
+                self.start_task(self.grpc.start())
+            self.set_ready(self.has_endpoint_list)
 
     def start(self) -> None:
-        """Learn of the backends."""
+        """Start discovery, housekeeping and the tally."""
         if self.config.known:
-            self.loop.told(self.config.generation or 0, True, self.config.known)
-            self.reactor.callLater(KNOWN_S, self.set_ready)
-        self.director.begin()
-        self.reactor.callLater(SWEEP_S, self.sweep)
-        self.reactor.callLater(TALLY_S, self.tell)
-
-    def told(self, generation: int, full: bool, entries: list[dict[str, Any]]) -> None:
-        """The director's word."""
-        self.loop.told(generation, full, entries)
-        self.heard = True
+            self.loop.apply_endpoint_list(self.config.generation or 0, True, self.config.known)
+            self.reactor.callLater(FIRST_LIST_TIMEOUT_S, self.set_ready)
+        self.discovery.begin()
+        self.reactor.callLater(SWEEP_INTERVAL_S, self.sweep)
+        self.reactor.callLater(TALLY_INTERVAL_S, self.log_tally)
+
+    def on_endpoint_list(self, generation: int, is_complete: bool, entries: list[dict[str, Any]]) -> None:
+        """Apply an endpoint list or a watch event from discovery."""
+        self.loop.apply_endpoint_list(generation, is_complete, entries)
+        self.has_endpoint_list = True
         self.set_ready()
 
-    def set_ready(self, heard: bool = True) -> None:
-        """Clients may come, if the addresses are bound: backends are known."""
-        listens = self.door.port is not None or self.waiting
-        if heard and listens and self.status is Status.STARTING and self.loop.pool.backends:
-            self.show(Status.READY)
+    def set_ready(self, has_endpoint_list: bool = True) -> None:
+        """Become ready, if the addresses are bound and backends are known."""
+        is_listening = self.listener.port is not None or self.waiting_since_s
+        if has_endpoint_list and is_listening and self.status is Status.STARTING and self.loop.pool.backends:
+            self.set_status(Status.READY)
             if self.incarnation is not None:
                 self.incarnation.announce_ready()
             self.log("ready", backends=len(self.loop.pool.backends))
 
     def ready(self) -> bool:
-        """Whether requests are taken; they are for a while after SIGTERM too."""
+        """Whether requests are accepted; for a while after SIGTERM they are, too."""
         return self.status is not Status.STARTING
 
-    def tell_status(self) -> tuple[Status, float]:
-        """For other balancers: how the limiter is, and the part of the requests that it lets in."""
+    def health_status(self) -> tuple[Status, float]:
+        """Return the status and the admission probability, for the health checks of load balancers."""
         return self.status, self.loop.core.limiter.shedder.admission_probability
 
-    def show(self, status: Status) -> None:
-        """Change the status, at every listener."""
+    def set_status(self, status: Status) -> None:
+        """Change the status, and publish it through gRPC health."""
         self.status = status
         if self.grpc is not None:
-            self.task(self.grpc.tell(status))
+            self.start_task(self.grpc.tell(status))
 
-    def task(self, work: Coroutine[Any, Any, None]) -> Any:
-        """Start something on the event loop; a fault of it is logged."""
+    def start_task(self, work: Coroutine[Any, Any, None]) -> Any:
+        """Start a coroutine on the asyncio event loop; an exception in it is logged."""
         task = self.asyncio_loop.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self.task_ended)
+        task.add_done_callback(self.on_task_end)
         return task
 
-    def task_ended(self, task: Any) -> None:
-        """Keep no finished task; a front that can't listen ends the program, as any other would."""
+    def on_task_end(self, task: Any) -> None:
+        """Drop a finished task. One that failed ends the program, as a listener that can't bind does."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.log("grpc", level="error", what=f"{type(error).__name__}: {error}")
@@ -325,106 +345,114 @@
             self.reactor.stop()
 
     def sweep(self) -> None:
-        """House-keeping, again and again, also after a fault in it."""
+        """Do the periodic housekeeping, and schedule the next run, also after an exception."""
         try:
             self.loop.sweep()
-            self.door.sweep()
+            self.listener.sweep()
             if self.incarnation is not None:
                 self.merge_overrides()
         finally:
-            self.reactor.callLater(SWEEP_FULL_S if self.door.full else SWEEP_S, self.sweep)
-
-    def tell(self) -> None:
-        """Log what was done lately, again and again."""
-        self.reactor.callLater(TALLY_S, self.tell)
-        used = resource.getrusage(resource.RUSAGE_SELF)
-        cpu = used.ru_utime + used.ru_stime
+            self.reactor.callLater(
+                FULL_SWEEP_INTERVAL_S if self.listener.full else SWEEP_INTERVAL_S, self.sweep
+            )
+
+    def log_tally(self) -> None:
+        """Log the activity since the last tally, and schedule the next one."""
+        self.reactor.callLater(TALLY_INTERVAL_S, self.log_tally)
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        cpu_s = usage.ru_utime + usage.ru_stime
         core, limiter = self.loop.core, self.loop.core.limiter
-        tally, core.counts = core.counts, {}
+        counts, core.counts = core.counts, {}
         self.log(
             "tally",
-            cpu_ms=round(1000 * (cpu - self.cpu), 1),
-            memory_mb=round(used.ru_maxrss / 1024, 1),
-            sessions=len(self.door.sessions),
+            cpu_ms=round(1000 * (cpu_s - self.cpu_s), 1),
+            memory_mb=round(usage.ru_maxrss / 1024, 1),
+            sessions=len(self.listener.sessions),
             connections=self.loop.pool.total,
             open=len(core.open_requests),
-            attempts=len(limiter.attempts),  # as the decisions have it,
-            fetches=self.loop.pool.fetching(),  # and as the sockets do
+            attempts=len(limiter.attempts),  # in flight, by the decision module's count
+            fetches=self.loop.pool.fetching(),  # in flight, by the connection pool's count
             serving=[len(limiter.selector.endpoints), len(self.loop.pool.backends)],
             held=sum(len(t.queue.requests) for t in limiter.scheduler.active.values()),
             let_in=round(limiter.shedder.admission_probability, 3),
             usual_ms=round(limiter.estimates.latency_ms, 1),
-            counts=dict(sorted(tally.items())),
+            counts=dict(sorted(counts.items())),
             **(core.queue_adapter.queue.log_fields() if core.queue_adapter is not None else {}),
-            **(self.links.told() if self.links is not None else {}),
+            **(self.peer_connections.log_fields() if self.peer_connections is not None else {}),
             **({"admin": {str(s): n for s, n in self.admin.calls.items()}} if self.admin is not None else {}),
         )
-        self.cpu = cpu
+        self.cpu_s = cpu_s
 
     def reload(self) -> None:
-        """SIGHUP: read the configuration anew.  All of it is checked before anything is changed; a faulty
-        one is logged by its key and the old one stays.  Director and counter move; no request is dropped."""
+        """Handle SIGHUP: read the configuration again.
+
+        All of it is checked before anything changes. For a faulty one the key is logged, and the old one
+        stays in use. New addresses of discovery and of the counter take effect; no request is dropped."""
         try:
             new = self.reread()
         except ConfigError as error:
             self.log("configuration", level="error", what=str(error), kept=True)
             return
-        moved, others = compare(self.config, new)
-        if "discovery" in moved:
-            self.director.move(new.director)
-        if "counter" in moved:
+        followed_keys, restart_keys = compare(self.config, new)
+        if "discovery" in followed_keys:
+            self.discovery.move(new.director)
+        if "counter" in followed_keys:
             self.loop.move_counter(new.counter)
             self.config = replace(self.config, counter=new.counter)
         self.config = self.loop.config = replace(self.config, director=new.director)
-        self.log("reloaded", moved=moved, at_next_start=others)
+        self.log("reloaded", moved=followed_keys, at_next_start=restart_keys)
 
     def stop(self, signalled_at: float | None = None) -> None:
-        """SIGTERM: go on for a moment, finish what was taken, end.
+        """Handle SIGTERM: accept requests for a moment longer, finish those accepted, end.
 
-        `signalled_at`: when it came (ms of the loop's clock); now, if it is not given.  Clients keep sending
-        on open connections until the kill, and what came late must not be open then: all is answered before.
+        `signalled_at` is the time of the signal (ms of the loop's clock); None stands for now. Clients keep
+        sending on open connections until the kill, and late requests must not be in flight then: every
+        request is answered before it.
         """
         if self.status is not Status.DRAINING:
             signalled_at = self.loop.clock() if signalled_at is None else signalled_at
             self.loop.core.answer_all_by(signalled_at + 1000.0 * (self.kill_after_s() - KILL_MARGIN_S))
-            self.show(Status.DRAINING)
+            self.set_status(Status.DRAINING)
             self.log("stopping", open=len(self.loop.core.open_requests))
             if self.incarnation is not None and self.incarnation.has_successor():
                 self.hand_over()
             else:
-                self.reactor.callLater(LINGER_S, self.finish)
+                self.reactor.callLater(SHUTDOWN_GRACE_S, self.finish)
 
     def kill_after_s(self) -> float:
-        """How long after SIGTERM this process may be killed at the earliest."""
+        """Return the shortest time after SIGTERM in which this process may be killed."""
         longest_ms = max(kind.deadline_ms for kind in self.config.settings.request_classes)
-        return min(longest_ms / 1000.0, KILL_AFTER_MOST_S) + LINGER_S
+        return min(longest_ms / 1000.0, MAX_DRAIN_S) + SHUTDOWN_GRACE_S
 
     def finish(self) -> None:
-        """Take nothing new; end once all is answered."""
-        self.door.shut(shared=self.config.inherited is not None)
+        """Stop accepting clients, and end once every request is answered."""
+        self.listener.shut(shared=self.config.inherited is not None)
         if self.grpc is not None:
-            self.task(self.grpc.stop(self.kill_after_s() - LINGER_S))
-        self.wait()
+            self.start_task(self.grpc.stop(self.kill_after_s() - SHUTDOWN_GRACE_S))
+        self.wait_until_idle()
 
-    def wait(self) -> None:
-        """Until the last session has its answers, and the decisions have heard of every end."""
-        self.door.shut_on()
+    def wait_until_idle(self) -> None:
+        """Stop the reactor once every session has its answers and the decision module has processed the end
+        of every attempt; until then, check again and again."""
+        self.listener.shut_on()
         core = self.loop.core
-        hears_ends = bool(core.inbox and core.limiter.attempts)
-        if self.door.sessions or self.tasks or hears_ends:
-            self.reactor.callLater(0.02, self.wait)
+        has_pending_ends = bool(core.inbox and core.limiter.attempts)
+        if self.listener.sessions or self.tasks or has_pending_ends:
+            self.reactor.callLater(0.02, self.wait_until_idle)
         else:
-            counts = dict(sorted(core.counts.items()))  # since the last tally
+            counts = dict(sorted(core.counts.items()))  # since the last tally line
             attempts = len(core.limiter.attempts)
             self.log("stopped", open=len(core.open_requests), attempts=attempts, counts=counts)
-            if self.links is not None:
-                self.links.stop()
-            self.director.stop()
+            if self.peer_connections is not None:
+                self.peer_connections.stop()
+            self.discovery.stop()
             self.reactor.stop()
 
 
-def observe(event: LogEvent) -> None:
-    """Twisted's own log: faults in network code, as one JSON line each; the rest is chatter."""
+def log_twisted_error(event: LogEvent) -> None:
+    """Log an error that Twisted reports, which is a fault in network code, as one JSON line.
+
+    Twisted's other log events are dropped."""
     if event.get("log_level") in (LogLevel.error, LogLevel.critical):
         failure = event.get("log_failure")
         trace = failure.getTraceback() if failure is not None else ""
@@ -432,16 +460,17 @@
 
 
 def main() -> int:
-    """Run one limiter."""
-    early: list[int] = []  # guards the start: a SIGHUP that comes before anything can follow it waits
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+    """Run one limiter; return the exit status."""
+    # SIGHUPs received during the start; the reload follows once the reactor runs.
+    early_sighups: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: early_sighups.append(number))
     try:
         config = read_config()
     except ConfigError as error:
         log("configuration", level="error", what=str(error))
         return 2
     if config.fronts.external_authorization or config.fronts.grpc_health:
-        import asyncio  # grpc.aio needs its loop; without it, epoll alone costs less
+        import asyncio  # grpc.aio needs asyncio's event loop; without gRPC, the epoll reactor costs less CPU
 
         from twisted.internet import asyncioreactor
 
@@ -449,30 +478,31 @@
         install(asyncio.new_event_loop())
     from twisted.internet import reactor
 
-    run: Any = reactor
+    untyped_reactor: Any = reactor
     try:
-        program = Program(config, run, log=Bounded())
+        program = Program(config, untyped_reactor, log=RateLimitedLog())
     except (OSError, ImportError) as fault:
         log("start", level="error", what=f"{type(fault).__name__}: {fault}")
         return 2
-    observer: Any = observe
+    observer: Any = log_twisted_error
     globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False, discardBuffer=True)
-    run.callWhenRunning(program.begin)
+    untyped_reactor.callWhenRunning(program.begin)
 
     def on_sigterm(number: int, frame: Any) -> None:
-        run.callFromThread(program.stop, program.loop.clock())
+        untyped_reactor.callFromThread(program.stop, program.loop.clock())
 
     def on_sighup(number: int, frame: Any) -> None:
-        run.callFromThread(program.reload)
+        untyped_reactor.callFromThread(program.reload)
 
-    run.callWhenRunning(signal.signal, signal.SIGTERM, on_sigterm)
-    run.callWhenRunning(signal.signal, signal.SIGHUP, on_sighup)
-    run.callWhenRunning(lambda: program.reload() if early else None)
+    untyped_reactor.callWhenRunning(signal.signal, signal.SIGTERM, on_sigterm)
+    untyped_reactor.callWhenRunning(signal.signal, signal.SIGHUP, on_sighup)
+    untyped_reactor.callWhenRunning(lambda: program.reload() if early_sighups else None)
     gc.collect()
-    gc.freeze()  # what is there now stays: it need not be looked through again
-    run.run()
+    gc.freeze()  # Objects of the start live as long as the process: the collector need not visit them.
+    untyped_reactor.run()
     for number in (signal.SIGTERM, signal.SIGHUP):
-        signal.signal(number, signal.SIG_IGN)  # the interpreter's end would take one for its own
+        # A signal during the interpreter's shutdown would otherwise change the exit status.
+        signal.signal(number, signal.SIG_IGN)
     return program.status_code
 
 
--- a/scalelb/program/config.py
+++ b/scalelb/program/config.py
@@ -1,6 +1,6 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads and checks all configuration, and sets its defaults.
 
-`read_settings` also serves the simulator's adapter, as both are given the same object.
+`scalelb.wirehost` uses `read_settings` too, as it receives the same settings object.
 """
 
 from __future__ import annotations
@@ -17,18 +17,33 @@
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Objective, Plan, RequestClass, Settings
 from scalelb.program.config_reader import ConfigError as ConfigError
-from scalelb.program.config_reader import ConfigFileMissingError, Node, is_name, read_json, read_toml, shown
-
-STATES = {"ready": EndpointState.SERVING, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
-PROGRAM_MB = 30.0  # that the program takes with nothing to do, and some
-DEPLOY = Path(__file__).parent.parent.parent / "deploy"
-FRONTS, FAIRNESS, PEERS = DEPLOY / "fronts.toml", DEPLOY / "fairness.toml", DEPLOY / "peers.toml"
-MEMBERS_MOST = 512
+from scalelb.program.config_reader import (
+    ConfigFileMissingError,
+    Node,
+    format_value,
+    is_name,
+    read_json,
+    read_toml,
+)
+
+STATE_BY_LIFECYCLE = {
+    "ready": EndpointState.SERVING,
+    "draining": EndpointState.DRAINING,
+    "gone": EndpointState.REMOVED,
+}
+BASELINE_MEMORY_MB = 30.0  # Memory of an idle process, with some slack.
+DEPLOY_DIRECTORY = Path(__file__).parent.parent.parent / "deploy"
+FRONTS_FILE, FAIRNESS_FILE, PEERS_FILE = (
+    DEPLOY_DIRECTORY / "fronts.toml",
+    DEPLOY_DIRECTORY / "fairness.toml",
+    DEPLOY_DIRECTORY / "peers.toml",
+)
+MAX_MEMBERS = 512
 MAX_SOCKETS = 2**31 - 1
 MAX_MEMORY_MB = 1e9
-VALUE_SEPARATOR = ","  # of the list of values in a request, which names class and plan
+VALUE_SEPARATOR = ","  # Separates the values in a request; class and plan names are among them.
 
-# The admission queue's settings by the keys of `deploy/fairness.toml`.
+# The keys of `deploy/fairness.toml` by the names of the admission queue's settings.
 QUEUE_KEYS = {
     "weights": "weights",
     "stranger_weight": "weights.strangers",
@@ -45,45 +60,45 @@
 
 
 def read_settings(options: Any, path: str = "options") -> Settings:
-    """Check and translate a limiter's settings; keys that are not known are skipped."""
-    top = Node(options, path)
-    limits, rules, extra = top.node("limits"), top.node("rules"), top.node("extra")
-    mix = top.node("objective-mix", {})
+    """Check and translate a limiter's settings; unknown keys are skipped."""
+    root = Node(options, path)
+    limits, rules, extra = root.node("limits"), root.node("rules"), root.node("extra")
+    mix = root.node("objective-mix", {})
     return Settings(
-        limiter_index=top.whole("index"),
-        limiter_count=top.whole("balancers", 1),
-        zone=top.whole("zone"),
+        limiter_index=root.integer("index"),
+        limiter_count=root.integer("balancers", 1),
+        zone=root.integer("zone"),
         request_classes=tuple(
             RequestClass(
-                latency_objective_ms=c.number("aim-ms", above=True),
-                deadline_ms=c.number("hard-limit-ms", above=True),
-                idempotency=c.choice("effect", Idempotency),
-                deduplication_scope=c.choice("group", DeduplicationScope),
-                idempotency_window_ms=c.number("window-ms"),
-                priority_weight=c.number("worth"),
-                late_value_ratio=c.number("late-value"),
+                latency_objective_ms=class_node.number("aim-ms", is_exclusive=True),
+                deadline_ms=class_node.number("hard-limit-ms", is_exclusive=True),
+                idempotency=class_node.choice("effect", Idempotency),
+                deduplication_scope=class_node.choice("group", DeduplicationScope),
+                idempotency_window_ms=class_node.number("window-ms"),
+                priority_weight=class_node.number("worth"),
+                late_value_ratio=class_node.number("late-value"),
             )
-            for c in top.nodes("classes", 1)
+            for class_node in root.nodes("classes", 1)
         ),
         plans=tuple(
             Plan(
-                rate_per_s=t.number("units-per-s"),
-                burst=t.number("most-at-once"),
-                max_concurrent_attempts=t.whole("at-once"),
-                ceiling_rate_per_s=t.number("cap-rate"),
-                ceiling_burst=t.number("hard-burst"),
-                ceiling_slack=t.number("hard-slack"),
-                price=t.number("pays"),
-                over_quota_value_ratio=t.number("over-worth"),
-                over_quota_cost_ratio=t.number("over-cost"),
+                rate_per_s=plan_node.number("units-per-s"),
+                burst=plan_node.number("most-at-once"),
+                max_concurrent_attempts=plan_node.integer("at-once"),
+                ceiling_rate_per_s=plan_node.number("cap-rate"),
+                ceiling_burst=plan_node.number("hard-burst"),
+                ceiling_slack=plan_node.number("hard-slack"),
+                price=plan_node.number("pays"),
+                over_quota_value_ratio=plan_node.number("over-worth"),
+                over_quota_cost_ratio=plan_node.number("over-cost"),
             )
-            for t in top.nodes("tariffs", 1)
+            for plan_node in root.nodes("tariffs", 1)
         ),
-        max_attempts=limits.whole("try-limit", 1),
-        slow_start_initial_ratio=rules.number("cold-from", above=True),
-        slow_start_ms=rules.number("cold-ms", above=True),
-        overload_multiple=rules.number("fall-multiple", above=True),
-        overload_window_ms=rules.number("fall-ms", above=True),
+        max_attempts=limits.integer("try-limit", 1),
+        slow_start_initial_ratio=rules.number("cold-from", is_exclusive=True),
+        slow_start_ms=rules.number("cold-ms", is_exclusive=True),
+        overload_multiple=rules.number("fall-multiple", is_exclusive=True),
+        overload_window_ms=rules.number("fall-ms", is_exclusive=True),
         max_units=extra.number("most-units"),
         settles_true_units=extra.flag("cost-after", default=False),
         has_counter=extra.flag("shared-counter"),
@@ -92,10 +107,10 @@
         has_health_checks=limits.flag("probing"),
         sends_retry_after=limits.flag("retry-after"),
         max_retry_after_ms=limits.number("max-retry-after-ms"),
-        subscribes_to_endpoints=top.text("discovery") == "on_request",
-        handshake_cost=top.node("penalties", {}).number("handshake", default=0.0),
+        subscribes_to_endpoints=root.text("discovery") == "on_request",
+        handshake_cost=root.node("penalties", {}).number("handshake", default=0.0),
         idle_timeout_ms=limits.number("conn-idle-ms", default=0.0),
-        discovery_silence_ms=rules.number("must-ask-in-ms", default=10_000.0, above=True),
+        discovery_silence_ms=rules.number("must-ask-in-ms", default=10_000.0, is_exclusive=True),
         objective=Objective(
             overall_weight=mix.number("whole", default=1.0),
             worst_class_weight=mix.number("worst-class", default=0.0),
@@ -105,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fronts:
-    """The doors beside the platform's; each is off while its address is empty."""
+    """The addresses of the optional front ends; one with an empty address is off."""
 
     external_authorization: str = ""
     grpc_health: str = ""
@@ -115,125 +130,131 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """The links to other limiters; times in ms."""
+    """The settings of the connections to other limiters."""
 
     listen: str
-    members: dict[str, str]  # name: host:port, this limiter's own too
-    fleet_bans: bool = False  # staff's words on backends hold at all limiters
+    members: dict[str, str]  # host:port by name, including this limiter's own
+    has_fleet_overrides: bool = False  # whether manual overrides apply to all limiters
     tick_ms: float = 100.0
-    beat_ms: float = 500.0
-    suspect_ms: float = 1500.0
-    alone_ms: float = 2000.0
+    heartbeat_ms: float = 500.0
+    suspect_after_ms: float = 1500.0
+    settle_alone_after_ms: float = 2000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the program is told."""
+    """The configuration of one limiter process."""
 
     name: str
     listen: str
-    director: str
-    counter: str
+    director: str  # address of discovery
+    counter: str  # address of the counter; empty: there is none
     seed: int
-    sockets: int
+    sockets: int  # file descriptors that the process may use
     settings: Settings
-    kinds: tuple[str, ...]
-    plans: tuple[str, ...]
+    kinds: tuple[str, ...]  # names of the request classes
+    plans: tuple[str, ...]  # names of the plans
     zones: tuple[str, ...]
-    generation: int | None
-    known: tuple[dict[str, Any], ...]
+    generation: int | None  # generation of `known`; None without it
+    known: tuple[dict[str, Any], ...]  # endpoint list to start with
     connect_timeout_ms: float
-    conn_idle_ms: float
-    requests_most: int
+    conn_idle_ms: float  # idle time after which a backend closes a connection
+    requests_most: int  # open requests at most
     fronts: Fronts = field(default_factory=Fronts)
     memory_mb: float = 192.0
-    fairness: AdmissionQueueSettings | None = None  # none: no admission queue
-    admin: str = ""  # where staff calls; empty: nowhere
-    inherited: int | None = None  # the descriptor of the clients' socket, where the platform holds it
-    peers: PeerSettings | None = None  # none: no links to other limiters
-    shared: str = ""  # a folder that the lives of this limiter share; empty: none
+    fairness: AdmissionQueueSettings | None = None  # None: no admission queue
+    admin: str = ""  # address of the operator API; empty: off
+    inherited: int | None = None  # descriptor of the clients' socket, if the platform holds it
+    peers: PeerSettings | None = None  # None: no connections to other limiters
+    shared: str = ""  # folder that the incarnations of this limiter share; empty: none
 
     @property
-    def descriptors(self) -> int:
-        """What is left for clients and backends: the program itself, the director, the counter and the doors
-        that are open hold some beside them."""
-        beside = [f for f in (self.fronts.agent_check, self.fronts.http_health, self.admin) if f]
-        rpc = self.fronts.external_authorization or self.fronts.grpc_health
-        links = 4 * len(self.peers.members).bit_length() + 8 if self.peers is not None else 0
-        return max(16, self.sockets - 60 - 17 * len(beside) - (64 if rpc else 0) - links)
+    def available_descriptors(self) -> int:
+        """Descriptors that are left for clients and backends.
+
+        The process itself, discovery, the counter and the open listeners use the others."""
+        listeners = [
+            address for address in (self.fronts.agent_check, self.fronts.http_health, self.admin) if address
+        ]
+        has_grpc = self.fronts.external_authorization or self.fronts.grpc_health
+        peer_descriptors = 4 * len(self.peers.members).bit_length() + 8 if self.peers is not None else 0
+        return max(16, self.sockets - 60 - 17 * len(listeners) - (64 if has_grpc else 0) - peer_descriptors)
 
     @property
-    def sessions_most(self) -> int:
-        """Clients' share: at most a third of all descriptors hold requests, others come and are told."""
-        return self.descriptors * 72 // 100
+    def max_sessions(self) -> int:
+        """Client sessions at most.
+
+        A third of all descriptors, at most, is for sessions with requests; the others are rejected."""
+        return self.available_descriptors * 72 // 100
 
     @property
-    def connections_most(self) -> int:
-        """The backends' share."""
-        return self.descriptors - self.sessions_most
+    def max_backend_connections(self) -> int:
+        """Connections to backends at most."""
+        return self.available_descriptors - self.max_sessions
 
     @property
-    def held_most(self) -> int:
-        """Bytes of open requests."""
+    def max_open_request_bytes(self) -> int:
+        """Bytes of open requests at most."""
         return int(self.memory_mb * 1024 * 1024 / 8)
 
     @property
-    def ahead_most(self) -> int:
-        """Bytes of values that are read before their clients take them: a quarter of what the program (and,
-        where the platform holds the socket, a second one beside it) leaves, as each takes up to twice its
-        length while it waits."""
-        programs = 1 if self.inherited is None else 2
-        return int(max(1.0, (self.memory_mb - PROGRAM_MB * programs) / 4) * 1024 * 1024)
+    def max_read_ahead_bytes(self) -> int:
+        """Bytes of response values, at most, that are read ahead of slow clients.
+
+        This is a quarter of the memory beyond the baseline of one process, or of two where the platform holds
+        the socket, as two incarnations may run. A value takes up to twice its length while it is buffered."""
+        process_count = 1 if self.inherited is None else 2
+        return int(max(1.0, (self.memory_mb - BASELINE_MEMORY_MB * process_count) / 4) * 1024 * 1024)
 
 
-def read_config(environment: Mapping[str, str] = os.environ, again: bool = False) -> Config:
-    """Read all of it: the environment, the file that it names, and the fronts' file.
+def read_config(environment: Mapping[str, str] = os.environ, is_reload: bool = False) -> Config:
+    """Read the environment and the files that it names.
 
-    When it is read `again`, the file is the newer word: a variable that was set at the start stands only for
-    what the file does not say.  Else a director that has moved could never be found.
+    On a reload the file takes precedence: an environment variable, which was set at the start, only supplies
+    keys that the file does not have. Otherwise a new address of discovery could never take effect.
     """
     path = environment.get("EDGE_CONFIG", "")
     if not path:
         raise ConfigError("EDGE_CONFIG: missing; it names the configuration file")
-    top = Node(_load_json(Path(path), "EDGE_CONFIG"), "")
-    told = {"name": "EDGE_NAME", "listen": "EDGE_LISTEN", "discovery": "EDGE_DISCOVERY"}
-    told["admin"] = "EDGE_ADMIN"
-    for key, variable in told.items():
-        if environment.get(variable) and not (again and key in top.value):
-            top.value[key] = environment[variable]
-    settings = top.node("settings")
+    root = Node(_load_json(Path(path), "EDGE_CONFIG"), "")
+    variables = {"name": "EDGE_NAME", "listen": "EDGE_LISTEN", "discovery": "EDGE_DISCOVERY"}
+    variables["admin"] = "EDGE_ADMIN"
+    for key, variable in variables.items():
+        if environment.get(variable) and not (is_reload and key in root.value):
+            root.value[key] = environment[variable]
+    settings = root.node("settings")
     limits = settings.node("limits")
-    known = top.node("known", {"generation": 0, "reset": True, "instances": []})
+    known = root.node("known", {"generation": 0, "reset": True, "instances": []})
     entries = tuple(node.value for node in known.nodes("instances"))
-    parsed = read_settings(settings.value, "settings")
-    admin, inherited = top.address("admin", ""), read_inherited(environment)
-    seed = top.text("seed", "0")
+    parsed_settings = read_settings(settings.value, "settings")
+    admin, inherited = root.address("admin", ""), read_inherited(environment)
+    seed = root.text("seed", "0")
     try:
-        number = int(seed, 16)
+        seed_number = int(seed, 16)
     except ValueError:
-        raise ConfigError(f"seed: must be a hex number, not {shown(seed)}") from None
-    name = top.name("name", "limiter")
+        raise ConfigError(f"seed: must be a hex number, not {format_value(seed)}") from None
+    name = root.name("name", "limiter")
     plans = _read_names(settings, "tariffs")
-    limits_of_program = top.node("limits", {})
+    process_limits = root.node("limits", {})
     return Config(
         name=name,
-        listen=top.address("listen"),
-        director=top.address("discovery"),
-        counter=top.address("counter") if parsed.has_counter else "",
-        seed=number,
-        sockets=limits_of_program.whole("sockets", 64, 1024, most=MAX_SOCKETS),
-        memory_mb=limits_of_program.number("memory_mb", 16.0, 192.0, most=MAX_MEMORY_MB),
-        settings=parsed,
+        listen=root.address("listen"),
+        director=root.address("discovery"),
+        counter=root.address("counter") if parsed_settings.has_counter else "",
+        seed=seed_number,
+        sockets=process_limits.integer("sockets", 64, 1024, maximum=MAX_SOCKETS),
+        memory_mb=process_limits.number("memory_mb", 16.0, 192.0, maximum=MAX_MEMORY_MB),
+        settings=parsed_settings,
         kinds=_read_names(settings, "classes"),
         plans=plans,
         zones=settings.texts("dcs", []),
-        generation=known.whole("generation", 0, 0) if entries else None,
+        generation=known.integer("generation", 0, 0) if entries else None,
         known=entries,
         connect_timeout_ms=limits.number("connect-timeout-ms", 1.0, 250.0),
         conn_idle_ms=limits.number("conn-idle-ms", 1.0, 30_000.0),
-        requests_most=limits.whole("max-open", 1, 4096),
+        requests_most=limits.integer("max-open", 1, 4096),
         fronts=read_fronts(environment),
-        fairness=read_fairness(environment, parsed, plans),
+        fairness=read_fairness(environment, parsed_settings, plans),
         peers=read_peers(environment, name),
         admin=admin,
         inherited=inherited,
@@ -242,48 +263,55 @@
 
 
 def _read_names(settings: Node, key: str) -> tuple[str, ...]:
-    """The names of classes or plans.  Requests go by them, so each can stand only once."""
-    place_of: dict[str, str] = {}
+    """Read the names of classes or plans. Requests refer to them by name, so each name must be unique."""
+    path_by_name: dict[str, str] = {}
     for node in settings.nodes(key):
         name = node.name("name", separators=VALUE_SEPARATOR)
-        if name in place_of:
-            raise ConfigError(f"{node.at('name')}: {shown(name)} is the name of {place_of[name]} already")
-        place_of[name] = node.path
-    return tuple(place_of)
+        if name in path_by_name:
+            raise ConfigError(
+                f"{node.at('name')}: {format_value(name)} is the name of {path_by_name[name]} already"
+            )
+        path_by_name[name] = node.path
+    return tuple(path_by_name)
 
 
 def read_inherited(environment: Mapping[str, str]) -> int | None:
-    """The descriptor of the clients' listening socket, where the platform hands it over."""
-    told = environment.get("EDGE_FD", "")
-    if not told:
+    """Return the descriptor of the clients' listening socket, if the platform hands one over."""
+    descriptor = environment.get("EDGE_FD", "")
+    if not descriptor:
         return None
     try:
-        if not told.isdigit():
+        if not descriptor.isdigit():
             raise ValueError("must be a descriptor's number")
-        with socket.socket(fileno=os.dup(int(told))) as heir:
-            if heir.family not in (socket.AF_INET, socket.AF_INET6) or heir.type != socket.SOCK_STREAM:
+        with socket.socket(fileno=os.dup(int(descriptor))) as inherited:
+            if (
+                inherited.family not in (socket.AF_INET, socket.AF_INET6)
+                or inherited.type != socket.SOCK_STREAM
+            ):
                 raise ValueError("must be a TCP socket")
-            if not heir.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-                raise ValueError("must be a socket that listens")
+            if not inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+                raise ValueError("must be a listening socket")
     except (OSError, ValueError, OverflowError) as error:
-        raise ConfigError(f"EDGE_FD: {error}, not {shown(told)}") from None
-    return int(told)
+        raise ConfigError(f"EDGE_FD: {error}, not {format_value(descriptor)}") from None
+    return int(descriptor)
 
 
 def compare(old: Config, new: Config) -> tuple[list[str], list[str]]:
-    """The keys that differ: those that a running limiter follows, and those that a start alone can change.
+    """Return the keys that differ: those that a running limiter adopts, and those that need a restart.
 
-    `seed` and `known` are for a start only and say nothing to one that runs.
+    `seed` and `known` only matter at a start, so they are left out.
     """
     names = {"director": "discovery", "kinds": "settings", "plans": "settings", "zones": "settings"}
     names |= {"connect_timeout_ms": "settings", "conn_idle_ms": "settings", "requests_most": "settings"}
     names |= {"fronts": "SCALELB_FRONTS", "fairness": "SCALELB_FAIRNESS", "peers": "SCALELB_PEERS"}
     names |= {"sockets": "limits.sockets", "memory_mb": "limits.memory_mb"}
     skipped = {"seed", "known", "generation", "inherited", "shared"}
-    differ = [f.name for f in fields(Config) if getattr(old, f.name) != getattr(new, f.name)]
-    follows = {"director"} | ({"counter"} if old.counter and new.counter else set())
-    moved = [names.get(name, name) for name in differ if name in follows]
-    return moved, sorted({names.get(name, name) for name in differ if name not in follows | skipped})
+    changed = [item.name for item in fields(Config) if getattr(old, item.name) != getattr(new, item.name)]
+    followed = {"director"} | ({"counter"} if old.counter and new.counter else set())
+    followed_keys = [names.get(name, name) for name in changed if name in followed]
+    return followed_keys, sorted(
+        {names.get(name, name) for name in changed if name not in followed | skipped}
+    )
 
 
 def _load_json(path: Path, variable: str) -> Any:
@@ -293,9 +321,9 @@
         raise ConfigError(f"{variable}: {path}: {error}") from None
 
 
-def _load_toml(environment: Mapping[str, str], variable: str, usual: Path) -> Any:
-    """The file that a variable names, or else the usual one; an empty object where that does not exist."""
-    path = Path(environment.get(variable, "") or usual)
+def _load_toml(environment: Mapping[str, str], variable: str, default: Path) -> Any:
+    """Read the file that a variable names, or the default file; an empty object if that does not exist."""
+    path = Path(environment.get(variable, "") or default)
     try:
         return read_toml(path)
     except ConfigError as error:
@@ -307,43 +335,45 @@
 def read_admission_queue(
     options: Any, settings: Settings, plans: tuple[str, ...]
 ) -> AdmissionQueueSettings | None:
-    """Check the admission queue's settings (keys as in `deploy/fairness.toml`); nothing where it is off.
+    """Check the admission queue's settings (keys as in `deploy/fairness.toml`); None if it is off.
 
-    An API call as well: `options` is the same object that the file holds.
+    This is a public function: `options` is an object as the file holds it.
     """
-    top = Node(options, "")
-    known = {"door": {"on", "flows", "held", "waiting"}, "weights": set(plans) | {"strangers"}}
-    known |= {"promises": {"reserve", "grace_ms", "early_ms", "most"}}
-    known |= {"limit": {"start_requests", "least_requests", "most_requests", "tolerance"}}
-    for key in sorted(top.value):
-        if key not in known:
-            raise ConfigError(f"{key}: not known; there are {', '.join(known)}")
-        if unknown := sorted(set(top.node(key).value) - known[key]):
-            raise ConfigError(f"{key}.{unknown[0]}: not known; there are {', '.join(sorted(known[key]))}")
-    door, weights = top.node("door", {}), top.node("weights", {})
-    promises, limit = top.node("promises", {}), top.node("limit", {})
+    root = Node(options, "")
+    known_keys = {"door": {"on", "flows", "held", "waiting"}, "weights": set(plans) | {"strangers"}}
+    known_keys |= {"promises": {"reserve", "grace_ms", "early_ms", "most"}}
+    known_keys |= {"limit": {"start_requests", "least_requests", "most_requests", "tolerance"}}
+    for key in sorted(root.value):
+        if key not in known_keys:
+            raise ConfigError(f"{key}: not known; there are {', '.join(known_keys)}")
+        if unknown := sorted(set(root.node(key).value) - known_keys[key]):
+            raise ConfigError(
+                f"{key}.{unknown[0]}: not known; there are {', '.join(sorted(known_keys[key]))}"
+            )
+    queue, weights = root.node("door", {}), root.node("weights", {})
+    reservations, limit = root.node("promises", {}), root.node("limit", {})
     rates = tuple(plan.rate_per_s for plan in settings.plans)
-    usual = AdmissionQueueSettings(plan_rates=rates)
-    read = _admission_queue_settings(
-        flows=door.choice("flows", FlowKey) if "flows" in door.value else usual.flows,
+    defaults = AdmissionQueueSettings(plan_rates=rates)
+    queue_settings = _admission_queue_settings(
+        flows=queue.choice("flows", FlowKey) if "flows" in queue.value else defaults.flows,
         weights=tuple(
-            weights.number(name, 0.0, usual.plan_weight(plan_index), above=True)
+            weights.number(name, 0.0, defaults.plan_weight(plan_index), is_exclusive=True)
             for plan_index, name in enumerate(plans)
         ),
-        stranger_weight=weights.number("strangers", 0.0, usual.stranger_weight, above=True),
-        held_most=door.whole("held", 1, usual.held_most),
-        waiting_most=door.whole("waiting", 1, usual.waiting_most),
-        grace_ms=promises.number("grace_ms", 0.0, usual.grace_ms),
-        early_ms=promises.number("early_ms", 0.0, usual.early_ms),
-        promises_most=promises.whole("most", 1, usual.promises_most),
-        reserve=promises.flag("reserve", usual.reserve),
-        least_requests=limit.number("least_requests", 1.0, usual.least_requests),
-        start_requests=limit.number("start_requests", 1.0, usual.start_requests),
-        most_requests=limit.number("most_requests", 1.0, usual.most_requests),
-        tolerance=limit.number("tolerance", 0.5, usual.tolerance),
+        stranger_weight=weights.number("strangers", 0.0, defaults.stranger_weight, is_exclusive=True),
+        held_most=queue.integer("held", 1, defaults.held_most),
+        waiting_most=queue.integer("waiting", 1, defaults.waiting_most),
+        grace_ms=reservations.number("grace_ms", 0.0, defaults.grace_ms),
+        early_ms=reservations.number("early_ms", 0.0, defaults.early_ms),
+        promises_most=reservations.integer("most", 1, defaults.promises_most),
+        reserve=reservations.flag("reserve", defaults.reserve),
+        least_requests=limit.number("least_requests", 1.0, defaults.least_requests),
+        start_requests=limit.number("start_requests", 1.0, defaults.start_requests),
+        most_requests=limit.number("most_requests", 1.0, defaults.most_requests),
+        tolerance=limit.number("tolerance", 0.5, defaults.tolerance),
         plan_rates=rates,
     )
-    return read if door.flag("on", False) else None
+    return queue_settings if queue.flag("on", False) else None
 
 
 def _admission_queue_settings(**values: Any) -> AdmissionQueueSettings:
@@ -356,73 +386,75 @@
 def read_fairness(
     environment: Mapping[str, str], settings: Settings, plans: tuple[str, ...]
 ) -> AdmissionQueueSettings | None:
-    """Read the admission queue's file; without one there is no admission queue."""
-    return read_admission_queue(_load_toml(environment, "SCALELB_FAIRNESS", FAIRNESS), settings, plans)
+    """Read the admission queue's file; without it there is no admission queue."""
+    return read_admission_queue(_load_toml(environment, "SCALELB_FAIRNESS", FAIRNESS_FILE), settings, plans)
 
 
-def read_link(options: Any, name: str) -> PeerSettings | None:
-    """Check what the links are told (`deploy/peers.toml` has the keys); nothing where they are off."""
-    top = Node(options, "")
-    known = ("on", "listen", "bans", "tick_ms", "beat_ms", "suspect_ms", "alone_ms", "members")
-    if unknown := sorted(top.value.keys() - set(known)):
-        raise ConfigError(f"{unknown[0]}: not known; there are {', '.join(known)}")
-    if not top.flag("on", False):
+def read_peer_settings(options: Any, name: str) -> PeerSettings | None:
+    """Check the peer settings (keys as in `deploy/peers.toml`); None if peer connections are off."""
+    root = Node(options, "")
+    known_keys = ("on", "listen", "bans", "tick_ms", "beat_ms", "suspect_ms", "alone_ms", "members")
+    if unknown := sorted(root.value.keys() - set(known_keys)):
+        raise ConfigError(f"{unknown[0]}: not known; there are {', '.join(known_keys)}")
+    if not root.flag("on", False):
         return None
-    members = top.node("members")
-    if not 2 <= len(members.value) <= MEMBERS_MOST:
-        raise ConfigError(f"members: must be 2 to {MEMBERS_MOST}, not {len(members.value)}")
+    members = root.node("members")
+    if not 2 <= len(members.value) <= MAX_MEMBERS:
+        raise ConfigError(f"members: must be 2 to {MAX_MEMBERS}, not {len(members.value)}")
     for member in members.value:
         if not is_name(member):
-            raise ConfigError(f"members: a name must be printable and without spaces, not {shown(member)}")
+            raise ConfigError(
+                f"members: a name must be printable and without spaces, not {format_value(member)}"
+            )
     if name not in members.value:
         raise ConfigError(f"members: must hold this limiter's own name, {name!r}")
-    if top.text("bans", "own") not in ("own", "fleet"):
-        raise ConfigError(f"bans: must be one of own, fleet, not {shown(top.text('bans'))}")
-    tick, beat = top.number("tick_ms", 10.0, 100.0), top.number("beat_ms", 10.0, 500.0)
-    suspect = top.number("suspect_ms", 10.0, 1500.0)
-    if not tick <= beat or not 2 * beat <= suspect:
+    if root.text("bans", "own") not in ("own", "fleet"):
+        raise ConfigError(f"bans: must be one of own, fleet, not {format_value(root.text('bans'))}")
+    tick_ms, heartbeat_ms = root.number("tick_ms", 10.0, 100.0), root.number("beat_ms", 10.0, 500.0)
+    suspect_ms = root.number("suspect_ms", 10.0, 1500.0)
+    if not tick_ms <= heartbeat_ms or not 2 * heartbeat_ms <= suspect_ms:
         raise ConfigError("suspect_ms: must be at least twice beat_ms, and beat_ms at least tick_ms")
     return PeerSettings(
-        listen=top.address("listen"),
+        listen=root.address("listen"),
         members={member: members.address(member) for member in sorted(members.value)},
-        fleet_bans=top.text("bans", "own") == "fleet",
-        tick_ms=tick,
-        beat_ms=beat,
-        suspect_ms=suspect,
-        alone_ms=top.number("alone_ms", 0.0, 2000.0),
+        has_fleet_overrides=root.text("bans", "own") == "fleet",
+        tick_ms=tick_ms,
+        heartbeat_ms=heartbeat_ms,
+        suspect_after_ms=suspect_ms,
+        settle_alone_after_ms=root.number("alone_ms", 0.0, 2000.0),
     )
 
 
 def read_peers(environment: Mapping[str, str], name: str) -> PeerSettings | None:
-    """Read the links' file; without one there are none."""
-    return read_link(_load_toml(environment, "SCALELB_PEERS", PEERS), name)
+    """Read the peers' file; without it there are no connections to peers."""
+    return read_peer_settings(_load_toml(environment, "SCALELB_PEERS", PEERS_FILE), name)
 
 
 def read_fronts(environment: Mapping[str, str] = os.environ) -> Fronts:
-    """Read the fronts' file; without one, only the platform's door is open."""
-    top = Node(_load_toml(environment, "SCALELB_FRONTS", FRONTS), "")
+    """Read the fronts' file; without it, all optional front ends are off."""
+    root = Node(_load_toml(environment, "SCALELB_FRONTS", FRONTS_FILE), "")
     found = {}
     for key in Fronts.__slots__:
-        found[key] = top.node(key, {"listen": ""}).address("listen", "")
-    if unknown := sorted(top.value.keys() - found.keys()):
-        raise ConfigError(f"{unknown[0]}: not a front")
+        found[key] = root.node(key, {"listen": ""}).address("listen", "")
+    if unknown := sorted(root.value.keys() - found.keys()):
+        raise ConfigError(f"{unknown[0]}: unknown front end")
     return Fronts(**found)
 
 
-def read_entry(entry: dict[str, Any], zones: tuple[str, ...], path: str) -> tuple[Endpoint, str]:
-    """One entry of the director's list: what the decisions are told, and the address."""
+def parse_endpoint(entry: dict[str, Any], zones: tuple[str, ...], path: str) -> tuple[Endpoint, str]:
+    """Parse one entry of the endpoint list; return the endpoint and its address."""
     node = Node(entry, path)
-    state = STATES.get(node.text("lifecycle"))
+    state = STATE_BY_LIFECYCLE.get(node.text("lifecycle"))
     if state is None:
-        raise ConfigError(f"{node.at('lifecycle')}: must be one of {', '.join(STATES)}")
+        raise ConfigError(f"{node.at('lifecycle')}: must be one of {', '.join(STATE_BY_LIFECYCLE)}")
     zone = node.text("zone", "-")
-    info = Endpoint(
+    endpoint = Endpoint(
         name=node.text("instanceId"),
         state=state,
         zone=zones.index(zone) if zone in zones else -1,
-        cell=node.whole("cell", 0, 0),
+        cell=node.integer("cell", 0, 0),
         relative_capacity=node.number("weight", 0.0, 1.0) or 1.0,
         started_at=node.number("startedAtMs", -inf, 0.0),
     )
     address = "" if state is EndpointState.REMOVED and "hostPort" not in entry else node.address("hostPort")
-    return info, address
+    return endpoint, address
--- a/scalelb/program/config_reader.py
+++ b/scalelb/program/config_reader.py
@@ -1,4 +1,4 @@
-"""Typed readers for the values of configuration files: whatever can't be used is named by its key."""
+"""Typed readers for the values of configuration files; an error names the key of the invalid value."""
 
 from __future__ import annotations
 
@@ -12,38 +12,43 @@
 
 E = TypeVar("E", bound=Enum)
 
-SHOWN_CHARACTERS = 80  # of a faulty value, in a message
+MAX_SHOWN_CHARACTERS = 80  # Longest part of an invalid value that a message shows.
 MAX_PORT = 65_535
 PORT_DIGITS = 5
 
 
 class ConfigError(Exception):
-    """A faulty configuration; the message names the key, on one line of printable characters."""
+    """An invalid configuration; the message names the key, on one line of printable characters."""
 
     def __init__(self, message: str) -> None:
-        super().__init__("".join(mark if mark.isprintable() else _escape(mark) for mark in message))
+        super().__init__(
+            "".join(
+                character if character.isprintable() else _escape_character(character)
+                for character in message
+            )
+        )
 
 
 class ConfigFileMissingError(ConfigError):
-    """There is no such file."""
+    """The configuration file does not exist."""
 
 
-def shown(value: Any) -> str:
-    """A faulty value as a message shows it: on one line, and not all of it where it is long."""
+def format_value(value: Any) -> str:
+    """Format an invalid value for a message: on one line, and truncated if it is long."""
     try:
         text = repr(value)
-    except (ValueError, RecursionError):  # an integer of more digits than Python writes, a deep structure
+    except (ValueError, RecursionError):  # Too many digits for Python to print, or too deeply nested.
         return f"a value too large to be shown ({type(value).__name__})"
-    return text if len(text) <= SHOWN_CHARACTERS else f"{text[:SHOWN_CHARACTERS]}..."
+    return text if len(text) <= MAX_SHOWN_CHARACTERS else f"{text[:MAX_SHOWN_CHARACTERS]}..."
 
 
 def is_name(text: str, separators: str = "") -> bool:
-    """Whether a text can be a name: not empty, printable, without spaces or `separators`."""
-    return bool(text) and text.isprintable() and not any(mark in text for mark in " " + separators)
+    """Whether a string is a valid name: not empty, printable, without spaces or `separators`."""
+    return bool(text) and text.isprintable() and not any(character in text for character in " " + separators)
 
 
 class Node:
-    """An object of the configuration and the path to it, for messages."""
+    """An object of the configuration, and its path for messages."""
 
     def __init__(self, value: Any, path: str) -> None:
         if not isinstance(value, dict):
@@ -51,11 +56,11 @@
         self.value, self.path = value, path
 
     def at(self, key: str) -> str:
-        """The path of a key."""
+        """Return the path of a key."""
         return f"{self.path}.{key}" if self.path else key
 
     def get(self, key: str, default: Any = None) -> Any:
-        """A value; missing without a default is a fault."""
+        """Return a value; a missing key without a default raises `ConfigError`."""
         if key in self.value:
             return self.value[key]
         if default is None:
@@ -65,93 +70,97 @@
     def number(
         self,
         key: str,
-        least: float = 0.0,
+        minimum: float = 0.0,
         default: float | None = None,
-        above: bool = False,
-        most: float = inf,
+        is_exclusive: bool = False,
+        maximum: float = inf,
     ) -> float:
-        """A finite number, from `least` on or above it, up to `most`."""
+        """Return a finite number from `minimum` (excluded if `is_exclusive`) to `maximum`."""
         value = self.get(key, default)
         number = _finite_number(value)
         if number is None:
-            raise ConfigError(f"{self.at(key)}: must be a number, not {shown(value)}")
-        if number < least or (above and number == least):
-            bound = f"{'above' if above else 'at least'} {least:g}"
-            raise ConfigError(f"{self.at(key)}: must be {bound}, not {shown(value)}")
-        if number > most:
-            raise ConfigError(f"{self.at(key)}: must be at most {most:g}, not {shown(value)}")
+            raise ConfigError(f"{self.at(key)}: must be a number, not {format_value(value)}")
+        if number < minimum or (is_exclusive and number == minimum):
+            bound = f"{'above' if is_exclusive else 'at least'} {minimum:g}"
+            raise ConfigError(f"{self.at(key)}: must be {bound}, not {format_value(value)}")
+        if number > maximum:
+            raise ConfigError(f"{self.at(key)}: must be at most {maximum:g}, not {format_value(value)}")
         return number
 
-    def whole(self, key: str, least: int = 0, default: int | None = None, most: float = inf) -> int:
-        """A whole number."""
-        value = self.number(key, least, default, most=most)
+    def integer(self, key: str, minimum: int = 0, default: int | None = None, maximum: float = inf) -> int:
+        """Return a whole number."""
+        value = self.number(key, minimum, default, maximum=maximum)
         if value != int(value):
             raise ConfigError(f"{self.at(key)}: must be a whole number, not {value!r}")
         return int(value)
 
     def flag(self, key: str, default: bool | None = None) -> bool:
-        """True or false."""
+        """Return a boolean."""
         value = self.get(key, default)
         if not isinstance(value, bool):
-            raise ConfigError(f"{self.at(key)}: must be true or false, not {shown(value)}")
+            raise ConfigError(f"{self.at(key)}: must be true or false, not {format_value(value)}")
         return value
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A text."""
+        """Return a string."""
         value = self.get(key, default)
         if not isinstance(value, str):
-            raise ConfigError(f"{self.at(key)}: must be a text, not {shown(value)}")
-        if not _is_utf8(value):  # a variable of the environment may hold any bytes
-            raise ConfigError(f"{self.at(key)}: must be UTF-8, not {shown(value)}")
+            raise ConfigError(f"{self.at(key)}: must be a string, not {format_value(value)}")
+        if not _is_utf8(value):  # An environment variable may hold any bytes.
+            raise ConfigError(f"{self.at(key)}: must be UTF-8, not {format_value(value)}")
         return value
 
     def name(self, key: str, default: str | None = None, separators: str = "") -> str:
-        """A name, as `is_name` has it."""
+        """Return a valid name; see `is_name`."""
         value = self.text(key, default)
         if not is_name(value, separators):
             without = " or ".join(["spaces", *separators])
-            raise ConfigError(f"{self.at(key)}: must be printable and without {without}, not {shown(value)}")
+            raise ConfigError(
+                f"{self.at(key)}: must be printable and without {without}, not {format_value(value)}"
+            )
         return value
 
     def texts(self, key: str, default: list[str] | None = None) -> tuple[str, ...]:
-        """A list of texts."""
+        """Return a list of strings."""
         value = self.get(key, default)
         if not isinstance(value, list):
-            raise ConfigError(f"{self.at(key)}: must be a list of texts, not {shown(value)}")
+            raise ConfigError(f"{self.at(key)}: must be a list of strings, not {format_value(value)}")
         return tuple(
             Node({f"{key}[{i}]": item}, self.path).text(f"{key}[{i}]") for i, item in enumerate(value)
         )
 
-    def choice(self, key: str, kind: type[E]) -> E:
-        """One of the values of an enumeration."""
+    def choice(self, key: str, enumeration: type[E]) -> E:
+        """Return the member of an enumeration that has this value."""
         value = self.text(key)
         try:
-            return kind(value)
+            return enumeration(value)
         except ValueError:
-            some = ", ".join(str(one.value) for one in kind)
-            raise ConfigError(f"{self.at(key)}: must be one of {some}, not {shown(value)}") from None
+            allowed = ", ".join(str(member.value) for member in enumeration)
+            raise ConfigError(
+                f"{self.at(key)}: must be one of {allowed}, not {format_value(value)}"
+            ) from None
 
     def node(self, key: str, default: dict[str, Any] | None = None) -> Node:
-        """An object inside."""
+        """Return a nested object."""
         return Node(self.get(key, default), self.at(key))
 
-    def nodes(self, key: str, least: int = 0) -> list[Node]:
-        """A list of objects inside."""
+    def nodes(self, key: str, minimum: int = 0) -> list[Node]:
+        """Return a nested list of objects."""
         value = self.get(key)
-        if not isinstance(value, list) or len(value) < least:
-            raise ConfigError(f"{self.at(key)}: must be a list of {least} objects or more")
-        return [Node(item, f"{self.at(key)}[{place}]") for place, item in enumerate(value)]
+        if not isinstance(value, list) or len(value) < minimum:
+            raise ConfigError(f"{self.at(key)}: must be a list of {minimum} objects or more")
+        return [Node(item, f"{self.at(key)}[{position}]") for position, item in enumerate(value)]
 
     def address(self, key: str, default: str | None = None) -> str:
-        """`host:port`, or nothing where that is the default."""
+        """Return an address as `host:port`; the default may be an empty string."""
         value = self.text(key, default)
         if value != default and not _is_address(value):
-            raise ConfigError(f"{self.at(key)}: must be host:port, not {shown(value)}")
+            raise ConfigError(f"{self.at(key)}: must be host:port, not {format_value(value)}")
         return value
 
 
-def _escape(mark: str) -> str:
-    return mark.encode("unicode_escape").decode()
+def _escape_character(character: str) -> str:
+    return character.encode("unicode_escape").decode()
 
 
 def _finite_number(value: Any) -> float | None:
@@ -179,7 +188,7 @@
 
 
 def read_json(path: Path) -> Any:
-    """The content of a JSON file.  Raises `ConfigError`, which says why it can't be read."""
+    """Read a JSON file. Raises `ConfigError` with the reason if that fails."""
     try:
         return orjson.loads(_read_file(path))
     except orjson.JSONDecodeError as error:
@@ -187,10 +196,13 @@
 
 
 def read_toml(path: Path) -> Any:
-    """The content of a TOML file.  Raises `ConfigError`, which says why it can't be read."""
+    """Read a TOML file. Raises `ConfigError` with the reason if that fails."""
     try:
         return tomllib.loads(_read_file(path).decode())
-    except (ValueError, RecursionError) as error:  # also an integer of too many digits, or deep nesting
+    except (
+        ValueError,
+        RecursionError,
+    ) as error:  # Also an integer of too many digits, or nesting that is too deep.
         raise ConfigError(f"not TOML: {error}") from None
 
 
@@ -199,5 +211,5 @@
         return path.read_bytes()
     except FileNotFoundError as error:
         raise ConfigFileMissingError(str(error.strerror)) from None
-    except (OSError, ValueError) as error:  # a path that can't be one is a ValueError
+    except (OSError, ValueError) as error:  # An invalid path raises ValueError.
         raise ConfigError(getattr(error, "strerror", None) or str(error)) from None
--- a/scalelb/program/endpoint_reports.py
+++ b/scalelb/program/endpoint_reports.py
@@ -1,13 +1,14 @@
-"""What limiters report of endpoints, and what each makes of the others' reports.
+"""Exchanges reports on endpoints between limiters, and applies the reports of the peers.
 
-    b:ENDPOINT  [started_at]  faulty: once two members say so, one of them probes it for all (by rendezvous
-                              hashing over those present) and the others send it nothing while there are
-                              others; one report alone does nothing
-    t:ENDPOINT  [started_at]  recovered, by the member that probes it
-    g:ENDPOINT  []            removed from the reporter's list; who still has it listed sends nothing new
-                              there once two say so, until its own list tells more
+    b:ENDPOINT  [started_at]  faulty: once two members report it, one member probes the endpoint for all,
+                              chosen by rendezvous hashing over the members present, and the others send it
+                              nothing while other endpoints are available; one report alone has no effect
+    t:ENDPOINT  [started_at]  recovered, reported by the member that probes it
+    g:ENDPOINT  []            removed from the reporter's endpoint list: once two members report it, limiters
+                              that still list the endpoint forward nothing new to it until their own list
+                              changes
 
-At most a quarter of the endpoints can be held back by reports, whoever may have written them.
+At most a quarter of the endpoints can be held back by reports, even if the reports are forged.
 """
 
 from __future__ import annotations
@@ -26,18 +27,18 @@
 REMOVED_PREFIX = "g:"
 REPORT_PREFIXES = (FAULTY_PREFIX, REMOVED_PREFIX, RECOVERED_PREFIX)
 
-FAULTY_RATIO = 0.5  # of failed outcomes, above which an endpoint is reported
-MIN_OUTCOMES = 1.2  # decayed count of outcomes, below which nothing is reported
-SUCCESSES_TO_RECOVER = 2  # in a row
-RECOVERY_REPORT_MS = 10_000.0  # how long a recovery is reported, and counts at the others
-REMOVAL_REPORT_MS = 60_000.0  # how long a removal is reported
-HOLD_MS = 2500.0  # how long a faulty endpoint gets nothing, from each review on
-REPORTS_NEEDED = 2
-MAX_HELD_RATIO = 0.25  # of the endpoints
+FAULTY_RATIO = 0.5  # An endpoint is reported above this ratio of failed outcomes.
+MIN_OUTCOMES = 1.2  # An endpoint with a lower decayed count of outcomes is not reported.
+SUCCESSES_TO_RECOVER = 2  # Consecutive successes after which an endpoint counts as recovered.
+RECOVERY_REPORT_MS = 10_000.0  # How long a recovery is reported, and how long peers apply it.
+REMOVAL_REPORT_MS = 60_000.0  # How long a removal is reported.
+HOLD_BACK_MS = 2500.0  # How long each review ejects a faulty endpoint.
+MIN_REPORTS = 2  # Members that have to make a report before it takes effect.
+MAX_HELD_BACK_RATIO = 0.25  # Largest part of the endpoints that reports can hold back.
 
 
 class EndpointReports:
-    """The reports of one limiter and of its peers.  Times are Unix milliseconds."""
+    """The reports of one limiter and of its peers. Times are Unix milliseconds."""
 
     def __init__(
         self,
@@ -54,18 +55,18 @@
         self.write = write
         self.on_overrides_changed = on_overrides_changed
         self.log = log
-        self.reporters: dict[str, set[Incarnation]] = {}  # of the peers, by the key of a report
-        self.probers: dict[str, str] = {}  # faulty endpoints, and the member that probes each for all
+        self.reporters: dict[str, set[Incarnation]] = {}  # peers' incarnations by the key of their report
+        self.probers: dict[str, str] = {}  # the member that probes each faulty endpoint for all
         self.recovered_at: dict[str, float] = {}  # endpoints that this limiter reports as recovered
-        self.recovery_taken_at: dict[str, float] = {}  # endpoints whose recovery another has reported
-        self.removed_at: dict[str, float] = {}  # endpoints whose removal this limiter reports
-        self.last_listed: set[str] = set()
-        self.held_as_removed: set[str] = set()  # listed, and held back for the peers' reports alone
+        self.recovery_applied_at: dict[str, float] = {}  # endpoints that a peer has reported as recovered
+        self.removed_at: dict[str, float] = {}  # endpoints that this limiter reports as removed
+        self.last_listed: set[str] = set()  # endpoints that were listed at the last review
+        self.held_back_as_removed: set[str] = set()  # listed endpoints that only peers report as removed
 
     # Own reports
 
     def publish(self, now: float) -> None:
-        """Report what was found of endpoints since the last review."""
+        """Report the outcomes, recoveries and removals of endpoints since the last review."""
         own_entries = self.replicator.own_log().entries
         self._publish_outcomes(now, own_entries)
         self._withdraw_old_recoveries(now)
@@ -84,7 +85,7 @@
             was_faulty = key in own_entries and own_entries[key].value is not None
             failure_ratio = endpoint.current_failure_ratio(now, decay_ms)
             is_faulty = failure_ratio > FAULTY_RATIO and endpoint.answer_weight >= MIN_OUTCOMES
-            # Without this line the report would fade while one member probes, and all would find it out anew.
+            # Otherwise the report would expire while one member probes, and all would detect the fault again.
             if was_faulty and self._is_being_probed(name, endpoint):
                 is_faulty = True
             if is_faulty != was_faulty:
@@ -95,8 +96,8 @@
                 self.write(RECOVERED_PREFIX + name, [round(endpoint.endpoint.started_at)])
 
     def _is_being_probed(self, name: str, endpoint: TrackedEndpoint) -> bool:
-        is_good = endpoint.consecutive_successes >= SUCCESSES_TO_RECOVER
-        has_recovered = name in self.recovery_taken_at or is_good
+        answers_again = endpoint.consecutive_successes >= SUCCESSES_TO_RECOVER
+        has_recovered = name in self.recovery_applied_at or answers_again
         return name in self.probers and not has_recovered
 
     def _withdraw_old_recoveries(self, now: float) -> None:
@@ -111,12 +112,12 @@
         for name in self.last_listed - listed:
             self.removed_at[name] = now
             self.write(REMOVED_PREFIX + name, [])
-        over = [
+        expired = [
             name
             for name, removed_at in self.removed_at.items()
             if now - removed_at > REMOVAL_REPORT_MS or name in listed
         ]
-        for name in over:
+        for name in expired:
             del self.removed_at[name]
             self.write(REMOVED_PREFIX + name, None)
 
@@ -132,12 +133,13 @@
 
     # The peers' reports
 
-    def take(self, incarnation: Incarnation, key: str, is_reported: bool) -> None:
-        """A peer's report is new, or was withdrawn.  Bounds the memory: three kinds for each listed
-        endpoint."""
+    def on_report(self, incarnation: Incarnation, key: str, is_reported: bool) -> None:
+        """Record that a peer has made or withdrawn a report.
+
+        Memory is bounded: reports are kept for three keys, one of each kind, per listed endpoint."""
         if is_reported:
-            has_room = len(self.reporters) < len(REPORT_PREFIXES) * len(self.overrides.listed)
-            if key in self.reporters or has_room:
+            has_capacity = len(self.reporters) < len(REPORT_PREFIXES) * len(self.overrides.listed)
+            if key in self.reporters or has_capacity:
                 self.reporters.setdefault(key, set()).add(incarnation)
             return
         reporters = self.reporters.get(key)
@@ -147,37 +149,43 @@
                 del self.reporters[key]
 
     def _reporting_members(self, key: str) -> set[str]:
-        """The peers whose newest incarnations report something; not this limiter itself."""
+        """Return the peers whose newest incarnations make this report, without this limiter itself."""
         newest = self.replicator.replica.newest_incarnation
         reporters = self.reporters.get(key, ())
         return {incarnation.name for incarnation in reporters if newest(incarnation.name) == incarnation}
 
     def review(self, now: float, replicator_now: float) -> None:
-        """Act on the reports.  Two members have to make one, on few endpoints: so one wrong peer alone holds
-        no endpoint back, and where most look faulty it is not they that are.
+        """Apply the reports.
+
+        A report takes effect if two members make it, so that a single mistaken peer holds no endpoint back.
+        If many endpoints look faulty, none is held back, as the cause is probably not the endpoints.
 
-        `replicator_now`: ms of the replicator's clock.
+        `replicator_now` is in ms of the replicator's clock.
         """
         self._choose_probers(replicator_now)
         self._hold_back_faulty(now)
-        for name in [n for n, at in self.recovery_taken_at.items() if now - at > RECOVERY_REPORT_MS]:
-            del self.recovery_taken_at[name]
+        for name in [
+            endpoint
+            for endpoint, applied_at in self.recovery_applied_at.items()
+            if now - applied_at > RECOVERY_REPORT_MS
+        ]:
+            del self.recovery_applied_at[name]
         self._hold_back_removed()
 
     def _choose_probers(self, replicator_now: float) -> None:
         replicator = self.replicator
         endpoints = self.core.limiter.selector.endpoints
-        own = {key for key, entry in replicator.own_log().entries.items() if entry.value is not None}
+        own_keys = {key for key, entry in replicator.own_log().entries.items() if entry.value is not None}
         present: list[str] = []
-        if not replicator.is_isolated(replicator_now):  # else it decides by what it has found itself
+        if not replicator.is_isolated(replicator_now):  # An isolated limiter uses its own outcomes only.
             present = replicator.present_members(replicator_now)
         report_counts = {}
         for name in endpoints:
             key = FAULTY_PREFIX + name
-            report_counts[name] = len(self._reporting_members(key)) + (1 if key in own else 0)
-        faulty = [name for name in endpoints if report_counts[name] >= REPORTS_NEEDED]
+            report_counts[name] = len(self._reporting_members(key)) + (1 if key in own_keys else 0)
+        faulty = [name for name in endpoints if report_counts[name] >= MIN_REPORTS]
         faulty.sort(key=lambda name: (-report_counts[name], name))
-        if not present or len(faulty) > _max_held(len(endpoints)):
+        if not present or len(faulty) > _max_held_back(len(endpoints)):
             faulty = []
         self.probers = {name: preferred_groups(name, present)[0] for name in faulty}
 
@@ -186,11 +194,11 @@
         for name, prober in self.probers.items():
             endpoint = limiter.selector.endpoints[name]
             if prober == self.replicator.incarnation.name:
-                continue  # it probes by its own outlier detection, as a limiter without peers does
+                continue  # The prober uses its own outlier detection, like a limiter without peers.
             if prober not in self._reporting_members(RECOVERED_PREFIX + name):
-                endpoint.ejected_until = max(endpoint.ejected_until, now + HOLD_MS)
-            elif name not in self.recovery_taken_at:  # once for each report: own outcomes count from here on
-                self.recovery_taken_at[name] = now
+                endpoint.ejected_until = max(endpoint.ejected_until, now + HOLD_BACK_MS)
+            elif name not in self.recovery_applied_at:  # Once per report; from now on, own outcomes count.
+                self.recovery_applied_at[name] = now
                 endpoint.clear_faults(limiter.estimates.latency_ms)
 
     def _hold_back_removed(self) -> None:
@@ -198,17 +206,17 @@
         reported = [
             name
             for name in sorted(listed)
-            if len(self._reporting_members(REMOVED_PREFIX + name)) >= REPORTS_NEEDED
+            if len(self._reporting_members(REMOVED_PREFIX + name)) >= MIN_REPORTS
         ]
-        held = set(reported[: _max_held(len(listed))])
-        if held == self.held_as_removed:
+        held_back = set(reported[: _max_held_back(len(listed))])
+        if held_back == self.held_back_as_removed:
             return
-        changed = held ^ self.held_as_removed
-        self.held_as_removed = held
-        self.overrides.distrusted = held
+        changed = held_back ^ self.held_back_as_removed
+        self.held_back_as_removed = held_back
+        self.overrides.distrusted = held_back
         self.on_overrides_changed(sorted(changed))
-        self.log("heeded", gone=sorted(held))
+        self.log("heeded", gone=sorted(held_back))
 
 
-def _max_held(endpoint_count: int) -> int:
-    return max(1, int(MAX_HELD_RATIO * endpoint_count))
+def _max_held_back(endpoint_count: int) -> int:
+    return max(1, int(MAX_HELD_BACK_RATIO * endpoint_count))
--- a/scalelb/program/idempotency_records.py
+++ b/scalelb/program/idempotency_records.py
@@ -1,12 +1,12 @@
-"""What limiters tell each other of attempts with an idempotency key: where a key may have run.
+"""Replicates between limiters where attempts with an idempotency key may have run.
 
     k:TENANT KEY  [zone, cell, sent_at, ends_at]
 
-It stands for an attempt of a class whose duplicates are dropped by one zone or cell only. Every limiter that
-the key comes to reads it: the request goes there, or nowhere. Of two owners' entries the older stands. By a
-forged one a request fails whose key the forger knows; no other does.
+An entry stands for an attempt of a class whose duplicates are dropped only within one zone or cell. A limiter
+that receives a request with this key forwards it to that zone or cell, or not at all. Of two limiters'
+entries for one key the older one applies. A forged entry can only fail requests whose key the forger knows.
 
-Times are Unix milliseconds of the one clock that all machines read; what lies far from the own time is
+Times are Unix milliseconds, and the machines' clocks are synchronized; entries with times far from now are
 ignored.
 """
 
@@ -25,46 +25,46 @@
 IDEMPOTENCY_PREFIX = "k:"
 MAX_OWN_KEYS = 8192
 MAX_PEER_KEYS = 65_536
-MAX_CLOCK_DISTANCE_MS = 60_000.0  # from now, at which a time of a peer may lie
-EXPIRY_CHECKS_PER_TICK = 256  # of the own keys, and of the peers'
+MAX_CLOCK_DISTANCE_MS = 60_000.0  # A peer's times may differ from now by this much.
+EXPIRY_CHECKS_PER_TICK = 256  # Own keys, and as many of the peers', that each tick checks.
 
 Write = Callable[[str, Any], None]
 
 
 class PeerAttempt(NamedTuple):
-    """An attempt that a peer, or an earlier incarnation of this limiter, has forwarded."""
+    """An attempt that was forwarded by a peer or by an earlier incarnation of this limiter."""
 
     sent_at: float
-    ends_at: float  # when its idempotency window ends
-    incarnation: Incarnation  # of its sender
-    endpoint: Endpoint  # its zone and cell only
+    ends_at: float  # end of its idempotency window
+    incarnation: Incarnation  # the sender's
+    endpoint: Endpoint  # holds only the zone and the cell
 
 
 class IdempotencyRecords:
-    """Keys that may have run, by this limiter and by others."""
+    """Idempotency keys whose attempts may have run, through this limiter or through others."""
 
     def __init__(
         self, core: Core, clock: Callable[[], float], write: Write, flush: Callable[[], None]
     ) -> None:
-        """`write` takes the key and the value of an own entry; `flush` sends what was written at once."""
+        """`write` takes the key and the value of an entry of this limiter; `flush` sends writes at once."""
         self.core = core
         self.clock = clock
         self.write = write
         self.flush = flush
-        self.own_ends_at: dict[str, float] = {}  # when the windows of the own keys end; the oldest first
+        self.own_ends_at: dict[str, float] = {}  # end of the window of each own key, oldest key first
         self.peer_attempts: dict[str, PeerAttempt] = {}
         core.replicas = self
 
     def ran(self, tenant: str, key: str) -> tuple[Endpoint, float] | None:
-        """Where an attempt with this key may have run through another limiter or another incarnation of this
-        one, and when it was sent; None if none has."""
+        """Return where an attempt with this key may have run through another limiter, or through an earlier
+        incarnation of this one, and when it was sent; None if there is none."""
         attempt = self.peer_attempts.get(_record_key(tenant, key))
         if attempt is None or self.clock() >= attempt.ends_at:
             return None
         return attempt.endpoint, attempt.sent_at
 
     def sends(self, request: Request) -> None:
-        """Publish an attempt before it is forwarded, if its duplicates are not dropped everywhere."""
+        """Publish an attempt before it is forwarded, unless its duplicates are dropped everywhere."""
         request_class = request.request_class
         now = self.clock()
         if not request.idempotency_key or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
@@ -75,7 +75,7 @@
         record_key = _record_key(request.tenant.name, request.idempotency_key)
         ends_at = now + request_class.idempotency_window_ms
         self.own_ends_at.pop(record_key, None)
-        if len(self.own_ends_at) >= MAX_OWN_KEYS:  # bounds the memory: the oldest goes
+        if len(self.own_ends_at) >= MAX_OWN_KEYS:  # Bounds the memory: the oldest is evicted.
             self._withdraw(next(iter(self.own_ends_at)))
         self.own_ends_at[record_key] = ends_at
         value = [endpoint.zone, endpoint.cell, round(now), round(ends_at)]
@@ -87,7 +87,7 @@
         self.write(IDEMPOTENCY_PREFIX + record_key, None)
 
     def tick(self, now: float) -> None:
-        """Drop some of the keys whose windows have ended."""
+        """Drop keys whose windows have ended, a bounded number per tick."""
         own = list(self.own_ends_at.items())[:EXPIRY_CHECKS_PER_TICK]
         for record_key in [key for key, ends_at in own if ends_at <= now]:
             self._withdraw(record_key)
@@ -96,7 +96,7 @@
             del self.peer_attempts[record_key]
 
     def on_entry(self, incarnation: Incarnation, record_key: str, value: Any) -> None:
-        """An entry is new here, or was deleted (None)."""
+        """Apply an entry that was received or deleted (None)."""
         known = self.peer_attempts.get(record_key)
         if value is None:
             if known is not None and known.incarnation == incarnation:
@@ -118,7 +118,7 @@
 
 
 def _decode_attempt(incarnation: Incarnation, value: Any, now: float) -> PeerAttempt | None:
-    """An entry's value; None where it can't be one, or lies too far from now."""
+    """Decode an entry's value; None if it is invalid, or its times are too far from now."""
     match value:
         case [int(zone), int(cell), int() | float() as sent_at, int() | float() as ends_at]:
             if any(isinstance(item, bool) for item in value):
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -1,4 +1,4 @@
-"""The loop: gathers what is ready, has the core take its turn, and carries out what came of it."""
+"""Connects the core to its sockets: passes events to the core and carries out the actions it returns."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from scalelb.policy.endpoints import Endpoint, EndpointState
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import IDLE_REUSE_RATIO
-from scalelb.program.config import Config, ConfigError, read_entry
+from scalelb.program.config import Config, ConfigError, parse_endpoint
 from scalelb.transport.counter import CounterClient
 from scalelb.transport.fetch import AttemptResult, BackendConnection, Fetch, Piece, Pool, PoolLimits
 from scalelb.transport.session import Held
@@ -24,23 +24,25 @@
 
 
 def unix_clock() -> Callable[[], float]:
-    """Milliseconds since 1970 that never step back: the director's and the other limiters' clock."""
+    """Return a clock of milliseconds since 1970 that never steps back.
+
+    It is comparable with the clocks of discovery and of other limiters."""
     offset = time.time() - time.monotonic()
     return lambda: (time.monotonic() + offset) * 1000.0
 
 
 class Loop:
-    """Joins one core to the sockets: the core's ports."""
+    """The ports of one core, on pooled connections, the counter's connection and timers."""
 
     def __init__(self, config: Config, reactor: Reactor, clock: Callable[[], float], log: Log) -> None:
         self.config, self.reactor, self.clock, self.log = config, reactor, clock, log
         limits = CoreLimits(max_open_requests=min(4096, config.requests_most))
-        door = config.fairness
-        self.core = Core(config.settings, config.seed, self, clock, limits, self.fault, door)
-        each = max(1, config.connections_most // 4)
+        queue_settings = config.fairness
+        self.core = Core(config.settings, config.seed, self, clock, limits, self.on_fault, queue_settings)
+        max_per_backend = max(1, config.max_backend_connections // 4)
         pool = PoolLimits(
-            connections=config.connections_most,
-            each=each,
+            connections=config.max_backend_connections,
+            each=max_per_backend,
             connect_ms=config.connect_timeout_ms,
             idle_ms=IDLE_REUSE_RATIO * config.conn_idle_ms,
         )
@@ -51,63 +53,67 @@
             self.counter = CounterClient(
                 reactor, clock, config.counter, timeout, self.core.counter_replied, log
             )
-        self.alarm: Delay | None = None
-        self.alarm_at = 0.0
+        self.wake_timer: Delay | None = None
+        self.wake_timer_at = 0.0
         self.addresses: dict[str, str] = {}
         self.overrides = EndpointOverrides()
-        self.kinds = {name: place for place, name in enumerate(config.kinds)}
+        self.class_indexes = {name: position for position, name in enumerate(config.kinds)}
         self.metrics = ClassMetrics(len(config.kinds))
 
-    def fault(self, error: Exception) -> None:
-        """A fault of the decisions: it is logged, and the limiter goes on."""
+    def on_fault(self, error: Exception) -> None:
+        """Log an exception in the decision module; the limiter continues."""
         self.log("fault", level="error", what="".join(traceback.format_exception(error)))
 
     # Ports of the core
 
     def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
         """Start an attempt on a pooled connection."""
-        held: Held = request.payload
+        held_request: Held = request.payload
         attempt_number = request.attempt_number
         session: Any = request.caller
 
-        def begun(connection: BackendConnection) -> Piece:
+        def on_value_begun(connection: BackendConnection) -> Piece:
             self.core.first_byte_forwarded(request)
-            session.begin(held.answer, connection)
-            return lambda data: session.piece(held.answer, data)
+            session.begin(held_request.answer, connection)
+            return lambda data: session.piece(held_request.answer, data)
 
-        def ended(result: AttemptResult) -> None:
+        def on_attempt_ended(result: AttemptResult) -> None:
             if request.in_flight and request.attempt_number == attempt_number:
                 if request.first_byte_at and result.outcome is not Outcome.OK and not request.is_finished:
-                    session.broken(held.answer, request)
+                    session.broken(held_request.answer, request)
                 usage = result.usage
                 self.core.attempt_ended(
                     request, result.outcome, result.value, result.report, usage.true_units, usage.used_percent
                 )
 
         timeout_at = self.clock() + timeout_ms
-        class_index = self.kinds[held.call.kind]
+        class_index = self.class_indexes[held_request.call.kind]
 
-        def write() -> bytes | None:
-            if not session.there():  # nobody reads a session that is paused: this is how its end is seen
+        def write_request() -> bytes | None:
+            if (
+                not session.there()
+            ):  # A paused session is not read: only this check notices that it has ended.
                 session.abort()
                 self.core.cancel(request)
             if request.attempt_number != attempt_number or not self.core.may_begin(request):
                 return None
-            return held.call.passed_on(int(timeout_at - self.clock()))
+            return held_request.call.passed_on(int(timeout_at - self.clock()))
 
-        def left() -> None:
+        def on_request_sent() -> None:
             self.metrics.attempts[class_index] += 1
 
-        fetch = self.pool.fetch(endpoint, write, ended, left=left, begun=begun)
-        if not fetch.done:
-            request.attempt_handle = fetch
+        attempt = self.pool.fetch(
+            endpoint, write_request, on_attempt_ended, left=on_request_sent, begun=on_value_begun
+        )
+        if not attempt.done:
+            request.attempt_handle = attempt
 
     def abandon_attempt(self, request: OpenRequest) -> None:
-        """Give up the attempt in flight."""
-        fetch = request.attempt_handle
+        """Abandon the attempt in flight."""
+        attempt = request.attempt_handle
         request.attempt_handle = None
-        if isinstance(fetch, Fetch):
-            self.pool.drop(fetch)
+        if isinstance(attempt, Fetch):
+            self.pool.drop(attempt)
 
     def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
         """Call the counter."""
@@ -117,17 +123,17 @@
             self.counter.count(counter_key, amount, retention_ms)
 
     def check_health(self, endpoint: str) -> None:
-        """Ask an endpoint for its load report."""
+        """Query an endpoint for its load report."""
         started_at = self.clock()
 
-        def ended(outcome: Outcome, load_report: Mapping[str, float]) -> None:
+        def on_probe_ended(outcome: Outcome, load_report: Mapping[str, float]) -> None:
             elapsed_ms = self.clock() - started_at
             self.core.health_check_ended(endpoint, outcome, elapsed_ms, load_report)
 
-        self.pool.probe(endpoint, ended)
+        self.pool.probe(endpoint, on_probe_ended)
 
     def on_endpoints(self, endpoints: Iterable[Endpoint], is_complete: bool) -> None:
-        """The endpoint list has changed: the pool follows."""
+        """Update the connection pool after a change of the endpoint list."""
         changed = list(endpoints)
         for entry in changed:
             if entry.state is not EndpointState.REMOVED:
@@ -137,77 +143,83 @@
         self.pool.keep(listed - removed)
 
     def wake_at(self, due_at: float) -> None:
-        """Have the core take its turn at this time."""
-        if not due_at:  # the alarm for later stays: the turn may well find it right
+        """Schedule a turn of the core at this time; 0 is at once."""
+        if not due_at:  # A timer for a later time stays: it is often still needed after the turn.
             self.reactor.callLater(0, self.core.turn)
             return
-        if self.alarm is not None and self.alarm.active():
-            if self.alarm_at <= due_at:
+        if self.wake_timer is not None and self.wake_timer.active():
+            if self.wake_timer_at <= due_at:
                 return
-            self.alarm.cancel()
-        self.alarm_at = due_at
-        self.alarm = self.reactor.callLater(max(0.0, due_at - self.clock()) / 1000, self.core.turn)
+            self.wake_timer.cancel()
+        self.wake_timer_at = due_at
+        self.wake_timer = self.reactor.callLater(max(0.0, due_at - self.clock()) / 1000, self.core.turn)
 
-    # The director
+    # Discovery and the counter's address
 
     def move_counter(self, address: str) -> None:
-        """The counter is called elsewhere from now on; what is under way ends where it began."""
+        """Send further counter calls to another address; calls in flight end at the old one."""
         if self.counter is not None:
             self.counter.move(address)
 
-    def told(self, generation: int, full: bool, entries: Iterable[dict[str, Any]]) -> None:
-        """The list or its changes.  A faulty entry is logged and left out; the others count."""
-        infos = []
-        for place, entry in enumerate(entries):
+    def apply_endpoint_list(
+        self, generation: int, is_complete: bool, entries: Iterable[dict[str, Any]]
+    ) -> None:
+        """Apply an endpoint list, or a watch event with the entries that changed.
+
+        A malformed entry is logged and left out; the others apply."""
+        endpoints = []
+        for position, entry in enumerate(entries):
             try:
-                info, address = read_entry(entry, self.config.zones, f"instances[{place}]")
+                endpoint, address = parse_endpoint(entry, self.config.zones, f"instances[{position}]")
             except ConfigError as error:
                 self.log("malformed", level="warning", what=str(error), director=self.config.director)
                 continue
-            if info.state is not EndpointState.REMOVED:
-                self.addresses[info.name] = address
-            infos.append(info)
-        infos = self.replaced(infos)
-        states = {info.name: info.state.value for info in infos}
-        self.log("list", generation=generation, full=full, servers=states)
-        self.core.on_endpoints(self.overrides.on_endpoints(infos, full), full)
+            if endpoint.state is not EndpointState.REMOVED:
+                self.addresses[endpoint.name] = address
+            endpoints.append(endpoint)
+        endpoints = self.remove_replaced(endpoints)
+        states = {endpoint.name: endpoint.state.value for endpoint in endpoints}
+        self.log("list", generation=generation, full=is_complete, servers=states)
+        self.core.on_endpoints(self.overrides.on_endpoints(endpoints, is_complete), is_complete)
         known = self.pool.backends
         self.addresses = {name: known[name].address for name in known}
 
     def overrides_changed(self, servers: Iterable[str]) -> None:
-        """Overrides have changed: the decisions see it as a change of the endpoint list."""
+        """Pass changed overrides to the decision module, as a change of the endpoint list."""
         if entries := self.overrides.effective_entries(servers):
             self.core.on_endpoints(entries, False)
 
-    def ejected(self) -> int:
-        """Backends in the list that are left out, by hand or because they can't be reached."""
+    def ejected_count(self) -> int:
+        """Count the listed backends that are ejected, by an operator or for their failures."""
         now, servers = self.clock(), self.core.limiter.selector.endpoints
         return sum(
-            self.overrides.is_ejected(n) or (n in servers and servers[n].ejected_until > now)
-            for n in self.pool.backends
+            self.overrides.is_ejected(name) or (name in servers and servers[name].ejected_until > now)
+            for name in self.pool.backends
         )
 
-    def replaced(self, infos: list[Endpoint]) -> list[Endpoint]:
-        """Guards a new backend at the address of another: there is one machine at an address, so the other is
-        gone, whether or not the list says so yet.  It would be sent twice its share, and cold."""
+    def remove_replaced(self, endpoints: list[Endpoint]) -> list[Endpoint]:
+        """Mark an endpoint as removed if a newer one has its address.
+
+        There is one machine at an address, so the older endpoint no longer exists, even if the list still
+        holds it. With both, the machine would get twice its share of requests while it is warming up."""
         newest: dict[str, Endpoint] = {}
-        gone: dict[str, Endpoint] = {}
-        for info in [i for i in infos if i.state is not EndpointState.REMOVED]:
-            address = self.addresses[info.name]
-            other = newest.setdefault(address, info)
-            if other.name != info.name:
-                older, newer = sorted((other, info), key=lambda i: i.started_at)
-                gone[older.name] = replace(older, state=EndpointState.REMOVED)
+        replaced: dict[str, Endpoint] = {}
+        for endpoint in [item for item in endpoints if item.state is not EndpointState.REMOVED]:
+            address = self.addresses[endpoint.name]
+            other = newest.setdefault(address, endpoint)
+            if other.name != endpoint.name:
+                older, newer = sorted((other, endpoint), key=lambda item: item.started_at)
+                replaced[older.name] = replace(older, state=EndpointState.REMOVED)
                 newest[address] = newer
-        named = {info.name for info in infos}
+        named = {endpoint.name for endpoint in endpoints}
         for name, backend in self.pool.backends.items():
             if name not in named and backend.address in newest:
-                gone[name] = Endpoint(name, EndpointState.REMOVED)
-        kept = [info for info in infos if info.name not in gone]
-        return kept + list(gone.values())
+                replaced[name] = Endpoint(name, EndpointState.REMOVED)
+        remaining = [endpoint for endpoint in endpoints if endpoint.name not in replaced]
+        return remaining + list(replaced.values())
 
     def sweep(self) -> None:
-        """House-keeping of connections."""
+        """Close connections that are idle for too long, or whose response has stalled."""
         self.pool.sweep()
         if self.counter is not None:
             self.counter.sweep()
--- a/scalelb/program/peering.py
+++ b/scalelb/program/peering.py
@@ -1,12 +1,13 @@
-"""What limiters tell each other of their work, and what each makes of it.  No I/O: the replicator carries it.
+"""Connects one limiter's core to its replicator. No I/O: the replicator carries the entries to the peers.
 
-Every limiter writes only what is its own: the accounts of its tenants, what it found of endpoints, and the
-manual overrides that its operators made. So nothing has to be agreed upon, and a copy can only be old, never
-wrong. What is made of another's entry is bounded, whoever may have written it:
+Every limiter writes only entries of its own: the accounts of its tenants, its reports on endpoints, and the
+manual overrides of its operators. So no agreement is needed, and a copy can be outdated but never wrong. The
+effect of a peer's entry is bounded, even if the entry is forged:
 
     u:TENANT                       `account_replication.py`
-    x:ENDPOINT  [at, is_ejected]   a manual override: read by the next incarnation of this limiter, and by
-                                   all where `bans` in `deploy/peers.toml` says "fleet": the endpoint drains
+    x:ENDPOINT  [at, is_ejected]   a manual override, which drains the endpoint: read by the next incarnation
+                                   of this limiter, or by all limiters if `bans` in `deploy/peers.toml` is
+                                   "fleet"
     b:, t:, g:ENDPOINT             `endpoint_reports.py`
     k:TENANT KEY                   `idempotency_records.py`
 """
@@ -37,21 +38,22 @@
 from scalelb.replication import Incarnation, MemberState, OutgoingFrame, Replicator
 
 OVERRIDE_PREFIX = "x:"
-REVIEW_INTERVAL_MS = 1000.0  # between two reviews of the endpoints
-MAX_OVERRIDE_AT_MS = 1e15  # a time that can't be later
-TICK_SLACK_MS = 1.0  # by which a tick may come early, as timers are not exact
+REVIEW_INTERVAL_MS = 1000.0  # Time between two reviews of the endpoints.
+MAX_OVERRIDE_TIME_MS = 1e15  # Later times of overrides are invalid.
+TICK_TOLERANCE_MS = 1.0  # Timers are not exact: a tick may come early by this much.
 
 
 class OverrideScope(Enum):
-    """Where a manual override holds."""
+    """The limiters that apply a manual override."""
 
-    LIMITER = "own"  # at the limiter where it was made, and its next incarnations
-    FLEET = "fleet"
+    LIMITER = "own"  # the limiter where it was made, and its next incarnations
+    FLEET = "fleet"  # all limiters
 
 
 class Peering:
-    """Between one limiter's core and its replicator.  Times are Unix milliseconds (`clock`) where they do not
-    say that they are the replicator's."""
+    """Connects one limiter's core to its replicator.
+
+    Times are Unix milliseconds (`clock`), except those named after the replicator."""
 
     def __init__(
         self,
@@ -64,7 +66,7 @@
         override_scope: OverrideScope = OverrideScope.LIMITER,
         flush: Callable[[], None] = lambda: None,
     ) -> None:
-        """`on_overrides_changed` takes the endpoints; `flush` sends what was written at once."""
+        """`on_overrides_changed` receives the endpoints; `flush` sends pending writes at once."""
         self.replicator = replicator
         self.core = core
         self.overrides = overrides
@@ -73,24 +75,24 @@
         self.log = log
         self.override_scope = override_scope
         self.reviewed_at = -inf
-        self.replicator_ticked_at = -inf  # the replicator's time
-        self.replicator_now = 0.0  # the replicator's time at the newest tick
-        self.close_earlier_at = inf  # when all that earlier incarnations granted is over
+        self.replicator_ticked_at = -inf  # replicator time of the replicator's latest tick
+        self.replicator_now = 0.0  # replicator time at the latest tick
+        self.close_earlier_at = inf  # when all that earlier incarnations granted has expired
         self.accounts = AccountReplication(core, self.write)
         self.endpoints = EndpointReports(replicator, core, overrides, self.write, on_overrides_changed, log)
         self.idempotency = IdempotencyRecords(core, clock, self.write, flush)
         replicator.on_settled = self.on_settled
         replicator.on_closed = self.on_closed
         replicator.on_entry = self.on_entry
-        # Until it has settled no tenant gets a fresh share: an earlier incarnation may have granted it.
+        # Until this incarnation has settled, new tenants start empty: an earlier one may have granted units.
         core.limiter.tenants.records.unknown_start_empty_until = inf
 
     def write(self, key: str, value: Any) -> None:
-        """Write an own entry; the value None deletes it."""
+        """Write an entry of this limiter; the value None deletes it."""
         self.replicator.write(key, value, self.replicator_now)
 
     def tick(self, replicator_now: float, is_ready: Callable[[str], bool]) -> list[OutgoingFrame]:
-        """The frames to send now, to members that are ready; due each `push_ms`."""
+        """Return the frames to send to members that are ready; call it every `push_ms`."""
         now = self.clock()
         self.replicator_now = replicator_now
         self.idempotency.tick(now)
@@ -98,7 +100,7 @@
             self._publish(now)
         frames = self.replicator.push(is_ready)
         tick_ms = self.replicator.settings.tick_ms
-        if replicator_now - self.replicator_ticked_at >= tick_ms - TICK_SLACK_MS:
+        if replicator_now - self.replicator_ticked_at >= tick_ms - TICK_TOLERANCE_MS:
             self.replicator_ticked_at = replicator_now
             frames += self.replicator.tick(replicator_now, is_ready)
         return frames
@@ -114,7 +116,7 @@
             self.endpoints.review(now, self.replicator_now)
 
     def publish_override(self, endpoint: str, replicator_now: float) -> None:
-        """An operator has ejected an endpoint, or called it back."""
+        """Publish an operator's override of an endpoint."""
         override = self.overrides.by_endpoint.get(endpoint)
         if override is not None:
             value = [round(override.set_at, 3), override.is_ejected]
@@ -123,50 +125,49 @@
     # Called by the replicator
 
     def on_settled(self) -> None:
-        """All that peers hold of this limiter's earlier incarnations is here: go on from there."""
+        """Restore the state of this limiter's earlier incarnations; all that peers hold of it is here now."""
         now = self.clock()
-        recovered = 0
+        recovered_count = 0
         self.close_earlier_at = now
         earlier = self.replicator.earlier_incarnations()
         for incarnation in earlier:
             for key, value in self.replicator.replica.logs[incarnation].live_entries():
                 if key.startswith(ACCOUNT_PREFIX):
-                    recovered += self._recover_account(key.removeprefix(ACCOUNT_PREFIX), value, now)
+                    recovered_count += self._recover_account(key.removeprefix(ACCOUNT_PREFIX), value, now)
                 elif key.startswith(OVERRIDE_PREFIX):
                     self.on_entry(incarnation, key, value)
                 elif key.startswith(IDEMPOTENCY_PREFIX):
                     self.close_earlier_at = max(self.close_earlier_at, now + MAX_CLOCK_DISTANCE_MS)
         self.core.limiter.tenants.records.unknown_start_empty_until = 0.0
-        self.log("recalled", accounts=recovered, lives=len(earlier))
+        self.log("recalled", accounts=recovered_count, lives=len(earlier))
 
     def _recover_account(self, tenant: str, value: Any, now: float) -> bool:
         record = decode_account(value, now)
         if record is None:
             return False
-        over_at = min(record.full_at, now + EARLIER_INCARNATIONS_MS)
-        self.close_earlier_at = max(self.close_earlier_at, over_at)
+        granted_until = min(record.full_at, now + EARLIER_INCARNATIONS_MS)
+        self.close_earlier_at = max(self.close_earlier_at, granted_until)
         return self.accounts.recover(tenant, record)
 
     def on_closed(self) -> None:
-        """A newer incarnation of this name is at work: the balances are its own, and nothing more is
-        granted."""
+        """Stop granting units: a newer incarnation of this limiter is running, and owns the balances."""
         leave_handover(self.core.limiter, self.clock())
 
     def on_entry(self, incarnation: Incarnation, key: str, value: Any) -> None:
-        """An entry is new here, or was deleted (None)."""
+        """Apply an entry that was received or deleted (None)."""
         is_own = incarnation.name == self.replicator.incarnation.name
-        holds_here = is_own or self.override_scope is OverrideScope.FLEET
+        applies_here = is_own or self.override_scope is OverrideScope.FLEET
         if key.startswith(IDEMPOTENCY_PREFIX):
             self.idempotency.on_entry(incarnation, key.removeprefix(IDEMPOTENCY_PREFIX), value)
         elif key.startswith(REPORT_PREFIXES) and not is_own:
-            self.endpoints.take(incarnation, key, value is not None)
-        elif key.startswith(OVERRIDE_PREFIX) and value is not None and holds_here:
-            self._take_override(key.removeprefix(OVERRIDE_PREFIX), value)
+            self.endpoints.on_report(incarnation, key, value is not None)
+        elif key.startswith(OVERRIDE_PREFIX) and value is not None and applies_here:
+            self._apply_override(key.removeprefix(OVERRIDE_PREFIX), value)
 
-    def _take_override(self, endpoint: str, value: Any) -> None:
+    def _apply_override(self, endpoint: str, value: Any) -> None:
         match value:
             case [int() | float() as at, bool(is_ejected)] if not isinstance(at, bool):
-                if not 0 <= at < MAX_OVERRIDE_AT_MS:
+                if not 0 <= at < MAX_OVERRIDE_TIME_MS:
                     return
                 if self.overrides.merge([(endpoint, Override(float(at), is_ejected))]):
                     self.on_overrides_changed([endpoint])
@@ -174,21 +175,23 @@
     # For the log and for operators
 
     def digest(self) -> str:
-        """What is held here, in 8 hexadecimal digits: a log's version says what is in it."""
+        """Return a checksum of the replicated data, in 8 hexadecimal digits.
+
+        The versions of all logs identify their content."""
         versions = sorted(self.replicator.replica.versions().items())
-        # Operators compare it with that of limiters of another release: the text below must not change.
-        held = [
+        # Operators compare it with limiters of other releases, so the text that is hashed must not change.
+        parts = [
             f"(Life(name={name!r}, number={number!r}, nonce={nonce!r}), {version!r})"
             for (name, number, nonce), version in versions
         ]
-        text = "[" + ", ".join(held) + "]"
+        text = "[" + ", ".join(parts) + "]"
         return f"{crc32(text.encode()):08x}"
 
     def status(self, replicator_now: float) -> dict[str, Any]:
-        """For the log and for operators; the names of the fields are those of the log lines."""
+        """Return the status for the log and for operators; the keys are fields of log lines."""
         replicator = self.replicator
-        others = [name for name in replicator.topology.members if name != replicator.incarnation.name]
-        states = {name: replicator.member_state(name, replicator_now) for name in others}
+        other_members = [name for name in replicator.topology.members if name != replicator.incarnation.name]
+        member_states = {name: replicator.member_state(name, replicator_now) for name in other_members}
         return {
             "life": replicator.incarnation.number,
             "settled": replicator.is_settled,
@@ -196,7 +199,7 @@
             "alone": replicator.is_isolated(replicator_now),
             "links": len(replicator.links),
             "not_alive": {
-                name: state.value for name, state in states.items() if state is not MemberState.ALIVE
+                name: state.value for name, state in member_states.items() if state is not MemberState.ALIVE
             },
             "entries": sum(len(log.entries) for log in replicator.replica.logs.values()),
         }
--- a/scalelb/program/policy_register.py
+++ b/scalelb/program/policy_register.py
@@ -1,7 +1,7 @@
-"""An acceptor's state on SQLite: one row, synced before `save` returns.
+"""Stores an acceptor's state in SQLite: one row, synced to disk before `save` returns.
 
-A file that can't be read, is another program's, or fails its check is set aside under another name, and the
-acceptor starts as one whose store is gone: it must not vote on half of what it promised.
+A file that can't be read, belongs to another program or fails its checksum is renamed, and the acceptor
+starts as one that has lost its state: it must not vote with incomplete promises.
 """
 
 from __future__ import annotations
@@ -20,15 +20,17 @@
 
 
 class UnusableRegisterError(ValueError):
-    """The file is another acceptor's, of another format, or fails its check; the text says which."""
+    """The file belongs to another acceptor, has another format, or fails its checksum; the message says
+    which."""
 
 
 class PolicyRegister:
-    """The file of one acceptor; a `StateStore` of `scalelb.consensus`."""
+    """The state file of one acceptor; implements `StateStore` of `scalelb.consensus`."""
 
     def __init__(self, path: Path, name: str, log: Callable[..., None]) -> None:
-        """`name`: the acceptor's, so that another's file is not taken for its own.  Raises `sqlite3.Error` if
-        no file can be made in place of one that can't be used."""
+        """Open the file, or replace one that can't be used; raises `sqlite3.Error` if that fails.
+
+        The acceptor's `name` is stored in the file, so that another acceptor's file is recognized."""
         self.path = path
         self.name = name
         self.log = log
@@ -42,7 +44,7 @@
     def _open(self) -> sqlite3.Connection:
         connection = sqlite3.connect(self.path, isolation_level=None)
         connection.execute("PRAGMA journal_mode = DELETE")
-        # EXTRA syncs the folder once the journal is unlinked: without it a power loss may undo a save.
+        # EXTRA also syncs the folder after the journal is unlinked: otherwise a power loss may undo a save.
         connection.execute("PRAGMA synchronous = EXTRA")
         columns = "one INTEGER PRIMARY KEY CHECK (one = 1), name, form, crc, state"
         connection.execute(f"CREATE TABLE IF NOT EXISTS voter ({columns})")
@@ -58,26 +60,29 @@
                 Path(f"{self.path}{suffix}").unlink()
 
     def load(self) -> dict[str, Any] | None:
-        """The state that was saved last; None where there is none.  Raises `UnusableRegisterError` for a row
-        that can't be used, `ValueError` for one that is no JSON, and `sqlite3.Error`."""
+        """Return the state that was saved last, or None.
+
+        Raises `UnusableRegisterError` for a row that can't be used, `ValueError` for one that is not JSON,
+        and `sqlite3.Error`."""
         row = self.connection.execute("SELECT name, form, crc, state FROM voter").fetchone()
         if row is None:
             return None
         name, format_version, checksum, data = row
         if (name, format_version) != (self.name, FORMAT_VERSION):
-            raise UnusableRegisterError(f"{self.path.name}: of voter {name!r} and form {format_version!r}")
+            raise UnusableRegisterError(
+                f"{self.path.name}: written by acceptor {name!r} in format version {format_version!r}"
+            )
         if not isinstance(data, bytes) or crc32(data) != checksum:
-            raise UnusableRegisterError(f"{self.path.name}: fails its check")
+            raise UnusableRegisterError(f"{self.path.name}: checksum mismatch")
         state: dict[str, Any] = orjson.loads(data)
         return state
 
     def save(self, state: dict[str, Any]) -> None:
-        """Save the state, whole or not at all; it is on the disk before this returns.  Raises
-        `sqlite3.Error`."""
+        """Save the state atomically; it is on disk before this returns. Raises `sqlite3.Error`."""
         data = orjson.dumps(state)
         row = (self.name, FORMAT_VERSION, crc32(data), data)
         self.connection.execute("INSERT OR REPLACE INTO voter VALUES (1, ?, ?, ?, ?)", row)
 
     def close(self) -> None:
-        """Nothing can be saved any more."""
+        """Close the file."""
         self.connection.close()
--- a/scalelb/program/predecessor.py
+++ b/scalelb/program/predecessor.py
@@ -1,16 +1,16 @@
-"""Two processes that are one limiter, as far as files in `$TMPDIR` can make them one.
+"""Coordinates the incarnations of one limiter through files in `$TMPDIR`, so that one can succeed another.
 
-Each incarnation of a limiter has a number, one more than the last, and holds the lock on `life-N` for as long
-as it runs: the kernel releases it with the process, so a killed one never counts as running, nor does a file
-that another program left.  Each file is written by one incarnation alone, whole and at once (a rename), and
-read by the others with the checks that a stranger's would get:
+Each incarnation has a number, one more than the last, and locks `life-N` while it runs. The kernel releases
+the lock when the process ends, so neither a killed incarnation nor a file of another program counts as
+running. Each file is written atomically (by a rename) by one incarnation only, and the others validate it
+like untrusted input:
 
     life-N      locked while incarnation N runs
     ready-N     incarnation N can serve
-    left-N      what incarnation N hands over to the next; it takes nothing new any more
-    bans-N      what incarnation N knows of endpoints that an operator has ejected
+    left-N      the handover of incarnation N, which no longer accepts requests
+    bans-N      the manual overrides that incarnation N knows
 
-Nothing here waits: a reader finds a file or does not.
+No operation blocks: a file that does not exist yet is reported as missing.
 """
 
 from __future__ import annotations
@@ -26,53 +26,54 @@
 
 from scalelb.core.endpoint_overrides import MAX_NAME_LENGTH, MAX_OVERRIDES, Override
 
-FOLDER = "scalelb"
+FOLDER_NAME = "scalelb"
 RUNNING_FILE = "life"
 READY_FILE = "ready"
 HANDOVER_FILE = "left"
 OVERRIDES_FILE = "bans"
 FILE_NAME = re.compile(r"(life|ready|left|bans)-([0-9]{1,9})")
-FORMAT_VERSION = 1  # a file of another one is not read
-MAX_FILE_BYTES = 8 * 1024 * 1024  # a longer file is a stranger's
-MAX_READ_OVERRIDES = 2 * MAX_OVERRIDES  # entries of one file
-MAX_TIME_MS = 1e15  # a later time in a file is a mistake
-NUMBER_LIMIT = 10**9  # numbers have nine digits
-MAX_NUMBER_ATTEMPTS = 100  # numbers that others may take first
+FORMAT_VERSION = 1  # Files of other versions are not read.
+MAX_FILE_BYTES = 8 * 1024 * 1024  # A longer file was not written by a limiter.
+MAX_READ_OVERRIDES = 2 * MAX_OVERRIDES  # Entries that are read from one file.
+MAX_TIME_MS = 1e15  # Later times in a file are invalid.
+NUMBER_LIMIT = 10**9  # Numbers have at most nine digits.
+MAX_NUMBER_ATTEMPTS = 100  # Concurrent starts may take this many numbers first.
 
 Log = Callable[..., None]
 
 
 class Incarnation:
-    """One incarnation of a limiter among the others.  `folder`: an existing directory that they all see."""
+    """One incarnation of a limiter among the others. `folder` is an existing directory that they share."""
 
     def __init__(self, folder: str, log: Log) -> None:
-        self.folder = Path(folder) / FOLDER
+        self.folder = Path(folder) / FOLDER_NAME
         self.log = log
-        self.number = 0  # 0: the folder can't be used, and it stands alone
-        self.predecessor = 0  # the incarnation before, if it still ran when this one started; 0: none
+        self.number = 0  # 0: the folder can't be used, so this incarnation runs without the others
+        self.predecessor = 0  # the previous incarnation, if it was running when this one started; 0: none
         self.lock_descriptor = -1
-        self.read_versions: dict[str, tuple[int, int]] = {}  # of each file read: time of change (ns), inode
+        self.read_versions: dict[str, tuple[int, int]] = {}  # mtime (ns) and inode of each file that was read
 
     def register(self) -> None:
-        """Take a number and look for a predecessor.  A folder that can't be used is logged, not raised: the
-        limiter starts all the same."""
+        """Take a number and look for a predecessor.
+
+        A folder that can't be used is logged, but raises no error: the limiter starts without it."""
         try:
             self.folder.mkdir(exist_ok=True)
             self._take_number()
             earlier = [number for number in self._numbers(RUNNING_FILE) if number < self.number]
             running = [number for number in earlier if self.is_running(number)]
         except OSError as error:
-            self.log("succession", level="warning", what=f"stands alone: {error}")
+            self.log("succession", level="warning", what=f"runs without predecessor or successor: {error}")
             self.number = 0
             return
         self.predecessor = max(running, default=0)
         self.log("succession", life=self.number, before=self.predecessor)
 
     def _take_number(self) -> None:
-        """Raises `OSError` where no number is free.
+        """Take the next free number; raises `OSError` if none is free.
 
-        The file is locked before it has its name: else another incarnation could see it without its lock and
-        take this one for ended."""
+        The file is locked before it gets its name: otherwise another incarnation could find it without a lock
+        and conclude that this one has ended."""
         temporary = self._temporary_path()
         self.lock_descriptor = os.open(temporary, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         try:
@@ -83,7 +84,8 @@
                     os.link(temporary, self._path(RUNNING_FILE, number))
                 except FileExistsError:
                     continue
-                for kind in (READY_FILE, HANDOVER_FILE, OVERRIDES_FILE):  # of an earlier use of the number
+                # Files with this number are left from an earlier use of it.
+                for kind in (READY_FILE, HANDOVER_FILE, OVERRIDES_FILE):
                     self._path(kind, number).unlink(missing_ok=True)
                 self.number = number
                 return
@@ -98,12 +100,12 @@
         return self.folder / f"new-{os.getpid()}"
 
     def _numbers(self, kind: str) -> list[int]:
-        """The incarnations that have a file of this kind, lowest first.  Raises `OSError`."""
+        """Return the incarnations that have a file of this kind, lowest first. Raises `OSError`."""
         matches = [FILE_NAME.fullmatch(name) for name in os.listdir(self.folder)]
         return sorted(int(match[2]) for match in matches if match is not None and match[1] == kind)
 
     def is_running(self, number: int) -> bool:
-        """Whether that incarnation still runs."""
+        """Whether the incarnation with this number is running."""
         try:
             descriptor = os.open(self._path(RUNNING_FILE, number), os.O_RDWR | os.O_CLOEXEC)
         except OSError:
@@ -117,11 +119,11 @@
         return False
 
     def predecessor_is_running(self) -> bool:
-        """Whether the predecessor still runs."""
+        """Whether the predecessor is still running."""
         return self.is_running(self.predecessor)
 
     def remove_stale_files(self) -> None:
-        """Remove the files of incarnations that have ended, once what they left was read."""
+        """Remove the files of incarnations that have ended. Call it after reading their overrides."""
         if not self.number:
             return
         try:
@@ -135,25 +137,25 @@
         except OSError as error:
             self.log("succession", level="warning", what=str(error))
 
-    # What this incarnation writes
+    # Files that this incarnation writes
 
     def announce_ready(self) -> None:
-        """This incarnation can serve."""
+        """Announce that this incarnation can serve."""
         self._write(READY_FILE, {})
 
-    def hand_over(self, account: dict[str, Any]) -> None:
-        """This incarnation takes nothing new; it leaves the account to the next."""
-        self._write(HANDOVER_FILE, account)
+    def hand_over(self, handover: dict[str, Any]) -> None:
+        """Write the handover for the successor; this incarnation no longer accepts requests."""
+        self._write(HANDOVER_FILE, handover)
 
     def publish_overrides(self, overrides: dict[str, Override]) -> bool:
-        """Write what this incarnation knows of ejections.  False where it could not be written."""
+        """Write the overrides that this incarnation knows; return False if that fails."""
         if not self.number:
-            return True  # it stands alone: nobody else has to know
+            return True  # There is no other incarnation to read them.
         entries = [[name, override.set_at, override.is_ejected] for name, override in overrides.items()]
         return self._write(OVERRIDES_FILE, {"words": entries})
 
     def _write(self, kind: str, content: dict[str, Any]) -> bool:
-        """Whether the file was written.  A fault is logged."""
+        """Write a file atomically; log an error and return False if that fails."""
         if not self.number:
             return False
         path = self._path(kind, self.number)
@@ -166,10 +168,10 @@
             return False
         return True
 
-    # What the others have written
+    # Files that other incarnations write
 
     def has_successor(self) -> bool:
-        """Whether a later incarnation can serve."""
+        """Whether a later incarnation is running and can serve."""
         if not self.number:
             return False
         try:
@@ -179,7 +181,7 @@
             return False
 
     def read_handover(self) -> dict[str, Any] | None:
-        """What the predecessor has handed over: nothing while it still serves, empty if it can't be read."""
+        """Read the predecessor's handover: None if there is none yet, empty if it can't be read."""
         path = self._path(HANDOVER_FILE, self.predecessor)
         try:
             has_handed_over = path.exists()
@@ -190,7 +192,7 @@
         return self._read(path.name) or {}
 
     def read_overrides(self) -> list[tuple[str, Override]]:
-        """The overrides of all other incarnations whose file has changed since it was last read here."""
+        """Read the overrides of the other incarnations from files that changed since the last call."""
         if not self.number:
             return []
         overrides: list[tuple[str, Override]] = []
@@ -207,7 +209,7 @@
         return overrides
 
     def _parse_overrides(self, name: str) -> list[tuple[str, Override]]:
-        """The overrides in a file; faulty entries are logged and left out."""
+        """Return the overrides in a file; malformed entries are logged and left out."""
         entries = (self._read(name) or {}).get("words")
         if not isinstance(entries, list):
             return []
@@ -215,28 +217,28 @@
         for entry in entries[:MAX_READ_OVERRIDES]:
             override = parse_override(entry)
             if override is None:
-                self.log("succession", level="warning", what=f"{name}: an entry can't be read")
+                self.log("succession", level="warning", what=f"{name}: malformed entry")
             else:
                 overrides.append(override)
         return overrides
 
     def _read(self, name: str) -> dict[str, Any] | None:
-        """A file's content; nothing if it is not one of ours, or torn."""
+        """Read a file; None if it is not valid or was written by another program."""
         path = self.folder / name
         try:
             if path.stat().st_size > MAX_FILE_BYTES:
-                raise ValueError("too long")
+                raise ValueError("longer than 8 MiB")
             content = orjson.loads(path.read_bytes())
             if not isinstance(content, dict) or content.get("form") != FORMAT_VERSION:
-                raise ValueError(f"not of form {FORMAT_VERSION}")
-        except (OSError, ValueError) as error:  # orjson's errors are ValueErrors
+                raise ValueError(f"format version is not {FORMAT_VERSION}")
+        except (OSError, ValueError) as error:  # JSONDecodeError of orjson is a ValueError.
             self.log("succession", level="warning", what=f"{name}: {error}")
             return None
         return content
 
 
 def parse_override(entry: Any) -> tuple[str, Override] | None:
-    """One entry of a `bans-N` file as endpoint and override; nothing if it is faulty."""
+    """Parse one entry of a `bans-N` file into endpoint and override; None if it is malformed."""
     match entry:
         case [str(endpoint), int() | float() as set_at, bool(is_ejected)] if (
             not isinstance(set_at, bool)
--- a/tests/broken_program.py
+++ b/tests/broken_program.py
@@ -39,7 +39,7 @@
 
 def end_without_lingering() -> None:
     """The process ends as soon as it is told to."""
-    program.LINGER_S = 0.0
+    program.SHUTDOWN_GRACE_S = 0.0
 
     def finish(self: program.Program) -> None:
         self.log("stopped", open=0, attempts=0, counts={})
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -174,7 +174,7 @@
             fairness=fairness,
         )  # fmt: skip
         self.program = Program(config, self.net, lambda: 1e6 + 1000 * self.net.seconds(), self.log)
-        self.loop, self.door = self.program.loop, self.program.door
+        self.loop, self.door = self.program.loop, self.program.listener
         self.program.listen()
         self.program.start()
         self.wait(0)
--- a/tests/test_configuration_properties.py
+++ b/tests/test_configuration_properties.py
@@ -20,7 +20,7 @@
 
 from scalelb.program import log as program_log
 from scalelb.program.__main__ import Program
-from scalelb.program.config import Config, ConfigError, compare, read_config, read_entry
+from scalelb.program.config import Config, ConfigError, compare, parse_endpoint, read_config
 from scalelb.program.config_reader import Node
 
 ENTRY = {
@@ -152,7 +152,15 @@
             assert str(found)
             assert str(found).isprintable()
             continue
-        assert min(found.descriptors, found.sessions_most, found.held_most, found.ahead_most) > 0
+        assert (
+            min(
+                found.available_descriptors,
+                found.max_sessions,
+                found.max_open_request_bytes,
+                found.max_read_ahead_bytes,
+            )
+            > 0
+        )
         net: Any = Net()
         Program(replace(found, shared=""), net, lambda: 1e6, lambda event, **fields: None)
         assert compare(found, found) == ([], [])
@@ -228,7 +236,7 @@
 def test_any_value_in_a_list_entry_is_taken_or_named(path: tuple[Any, ...], value: Any) -> None:
     entry = changed(ENTRY, path, value)
     try:
-        endpoint, address = read_entry(entry, ("a",), "instances[0]")
+        endpoint, address = parse_endpoint(entry, ("a",), "instances[0]")
     except ConfigError as error:
         named = str(error)
     else:
@@ -247,7 +255,7 @@
     before, lines = stage.program.config, len(stage.logged)
     with tempfile.TemporaryDirectory() as folder:
         environment = written(Path(folder), contents)
-        stage.program.reread = lambda: read_config(environment, again=True)
+        stage.program.reread = lambda: read_config(environment, is_reload=True)
         stage.program.reload()
     [line] = stage.logged[lines:]
     assert line["event"] in ("configuration", "reloaded")
@@ -265,8 +273,8 @@
 @pytest.mark.parametrize(
     ("path", "value", "words"),
     [
-        (("settings", "dcs"), "abc", "settings.dcs: must be a list of texts, not 'abc'"),
-        (("settings", "dcs"), ["a", 7], r"settings.dcs\[1\]: must be a text, not 7"),
+        (("settings", "dcs"), "abc", "settings.dcs: must be a list of strings, not 'abc'"),
+        (("settings", "dcs"), ["a", 7], r"settings.dcs\[1\]: must be a string, not 7"),
         (("settings", "classes", 0, "name"), "fetch cards", "name: must be printable and without spaces"),
         (("settings", "classes", 0, "name"), "a,b", "name: must be printable and without spaces or ,"),
         (("settings", "tariffs", 0, "name"), "basic\r\nX: y", "name: must be printable"),
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -127,11 +127,11 @@
         "read_handover": None,
     }
     program.incarnation = Mock(**{f"{name}.return_value": value for name, value in said.items()})
-    program.door.port = None
+    program.listener.port = None
     program.stop()
     stage.wait(1000)
     program.take_over()
-    assert program.door.port is None
+    assert program.listener.port is None
 
 
 @pytest.mark.parametrize("shared", [False, True])
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -367,7 +367,7 @@
         (4, True, [entry(1), {**entry(0, started=2e6), "instanceId": "s7"}, entry(0)], ["s1", "s7"]),
         (5, False, [{**entry(1), "hostPort": "127.0.0.1:7209"}, {**entry(1), "instanceId": "s6"}], None),
     ):
-        loop.told(at, full, entries)
+        loop.apply_endpoint_list(at, full, entries)
         stage.wait(0)
         assert (
             sorted(limiter.selector.endpoints) == sorted(loop.pool.backends) == (left or ["s1", "s6", "s7"])
@@ -390,7 +390,7 @@
     stage = Stage(backends=1)
     ends: list[str] = []
     stage.loop.pool.fetch("s0", lambda: b"early", lambda result: ends.append(result.outcome.value))
-    stage.loop.told(2, True, [{**entry(0), "instanceId": "s9"}])
+    stage.loop.apply_endpoint_list(2, True, [{**entry(0), "instanceId": "s9"}])
     assert ends == ["moot"]  # never sent, and nothing is held against the backend
     stage.play("wait 5\n backend closed\n backend silent")
 
@@ -479,12 +479,12 @@
     program.begin()
     for _ in range(10):
         net.advance(0)
-    assert program.door.port is None
+    assert program.listener.port is None
     assert "director" in net.wires
-    program.told(1, True, [entry(0)])
+    program.on_endpoint_list(1, True, [entry(0)])
     assert "ready" not in logged
     net.advance(0.01)
-    assert program.door.port is not None
+    assert program.listener.port is not None
     assert [event for event in logged if event in ("started", "ready")] == ["started", "ready"]
 
 
@@ -513,7 +513,7 @@
 
 def test_an_old_list_serves_while_the_director_is_silent() -> None:
     stage = Stage(known=False)
-    stage.loop.told(1, True, [entry(0)])
+    stage.loop.apply_endpoint_list(1, True, [entry(0)])
     stage.program.set_ready()
     stage.play("wait 5000\n client send {call(1)}\n backend expect CALL.GET")
 
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -311,7 +311,7 @@
 def test_what_is_read_ahead_of_slow_clients_is_bounded_over_all_of_them() -> None:
     # Guards the memory: many large values at once to clients that take nothing.
     stage = Stage(backends=3)
-    door = stage.program.door
+    door = stage.program.listener
     door.ahead_most = 1_000_000
     for number in range(1, 13):
         stage.play(f"client{number} send {{call({number}, swap=('0000ad', '00{number:02}ad'))}}")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,7 +17,7 @@
 from scenario import call
 
 from scalelb.program.config import ConfigError, read_config, read_fronts, read_peers, read_settings
-from scalelb.program.log import Bounded
+from scalelb.program.log import RateLimitedLog
 
 
 def test_a_request_is_served_over_real_sockets(start: Callable[..., Limiter]) -> None:
@@ -98,7 +98,7 @@
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}))
     environment = {"EDGE_CONFIG": str(path), "EDGE_DISCOVERY": "127.0.0.1:2", "EDGE_NAME": "n4"}
     assert read_config(environment).director == "127.0.0.1:2"
-    again = read_config(environment, again=True)
+    again = read_config(environment, is_reload=True)
     assert (again.director, again.name) == ("127.0.0.1:1", "n4")
 
 
@@ -148,7 +148,7 @@
     ("change", "words"),
     [
         ({"listen": "nowhere"}, "listen: must be host:port"),
-        ({"listen": None}, "listen: must be a text"),
+        ({"listen": None}, "listen: must be a string"),
         ({"discovery": "x:99999"}, "discovery: must be host:port"),
         ({"seed": "xyz"}, "seed: must be a hex number"),
         ({"limits": {"sockets": 3}}, "limits.sockets: must be at least 64"),
@@ -170,9 +170,9 @@
     ("text", "words"),
     [
         ("[", "not TOML"),
-        ("[agent_check]\nlisten = 5", "agent_check.listen: must be a text"),
+        ("[agent_check]\nlisten = 5", "agent_check.listen: must be a string"),
         ("[agent_check]\nlisten = 'here'", "agent_check.listen: must be host:port"),
-        ("[agentcheck]\nlisten = ''", "agentcheck: not a front"),
+        ("[agentcheck]\nlisten = ''", "agentcheck: unknown front end"),
     ],
 )
 def test_a_faulty_fronts_file_is_named(tmp_path: Path, text: str, words: str) -> None:
@@ -188,7 +188,9 @@
 
 def test_the_log_is_bounded_and_says_what_was_left_out() -> None:
     now, lines = [5.0], []
-    log = Bounded(lambda event, level, **fields: lines.append((event, fields)), lambda: now[0], most=2)
+    log = RateLimitedLog(
+        lambda event, level, **fields: lines.append((event, fields)), lambda: now[0], max_lines=2
+    )
     for _ in range(5):
         log("malformed", what="x")
     log("list")
