--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -18,11 +18,11 @@
 def night(backends: int, took: object, seconds: float = 30.0, rate: float = 440.0) -> Fleet:
     """40 gateways, 11 requests a second each."""
     fleet = Fleet(40, backends=backends, plans=(OPEN,), max_attempts=4)
-    fleet.took = took  # type: ignore[assignment]
+    fleet.attempt_duration_ms = took  # type: ignore[assignment]
 
     def next_one() -> None:
-        fleet.ask("c", fleet.random.randrange(40), 2.0)
-        fleet.at(1000 * fleet.random.expovariate(rate), next_one)
+        fleet.send_request("c", fleet.random.randrange(40), 2.0)
+        fleet.schedule(1000 * fleet.random.expovariate(rate), next_one)
 
     next_one()
     fleet.run(1000 * seconds)
@@ -33,9 +33,9 @@
     # Seen at a release: 40% of all attempts went to 20 servers that were gone but still listed, each limiter
     # trying each of them again within seconds, and the further attempts' budget was spent on them.
     gone = {f"s{n}" for n in range(20)}
-    seen = night(60, lambda server: -1.0 if server in gone else 200.0).seen
-    assert seen["refused"] < 0.002 * seen["asked"]  # four attempts that all met one, at the start
-    assert (seen["sends"] - seen["asked"]) / seen["asked"] < 0.075
+    seen = night(60, lambda server: -1.0 if server in gone else 200.0).counts
+    assert seen["rejected"] < 0.002 * seen["requests"]  # four attempts that all met one, at the start
+    assert (seen["attempts"] - seen["requests"]) / seen["requests"] < 0.075
 
 
 def test_one_silence_is_remembered_until_the_next_look() -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -21,8 +21,8 @@
     def next_one() -> None:
         number = fleet.random.randrange(customers)
         door = (number + fleet.random.randrange(min(30, gateways))) % gateways
-        fleet.ask(f"c{number}", door, fleet.random.randint(1, 6), sharing_limiters=min(30, gateways))
-        fleet.at(1000 * fleet.random.expovariate(rate), next_one)
+        fleet.send_request(f"c{number}", door, fleet.random.randint(1, 6), sharing_limiters=min(30, gateways))
+        fleet.schedule(1000 * fleet.random.expovariate(rate), next_one)
 
     next_one()
     fleet.run(1000 * seconds)
@@ -31,41 +31,41 @@
 
 def test_who_asks_far_beyond_its_quota_gets_it_and_no_more() -> None:
     # Seen with 40 limiters: each door took the store for its own, and a fifth of what was sent was beyond.
-    seen = evening(customers=20, times=4.0).seen
-    assert seen["units beyond"] < 0.06 * seen["units inside"]
-    assert seen["units inside"] > 0.9 * 20 * (PLAN.burst + 40 * PLAN.rate_per_s)
+    seen = evening(customers=20, times=4.0).counts
+    assert seen["units over quota"] < 0.06 * seen["units within quota"]
+    assert seen["units within quota"] > 0.9 * 20 * (PLAN.burst + 40 * PLAN.rate_per_s)
 
 
 def test_who_stays_inside_its_quota_is_not_refused() -> None:
     # Seen with 40 limiters: 18 to 48% of all tries were refused with half of the quota or more unused, since
     # half of a burst was never lent and what 30 doors held in parts was nobody's.
-    seen = evening(customers=40, times=0.4).seen
-    assert seen["refused with room"] == 0
-    assert seen["refused"] < 0.02 * seen["asked"]
-    assert seen["units beyond"] < 0.02 * seen["units inside"]
+    seen = evening(customers=40, times=0.4).counts
+    assert seen["rejected within quota"] == 0
+    assert seen["rejected"] < 0.02 * seen["requests"]
+    assert seen["units over quota"] < 0.02 * seen["units within quota"]
 
 
 def test_what_has_run_over_is_not_saved_for_a_spike() -> None:
     # Guards the quota: the count of a window alone would grant all that a quiet customer left unused.
     fleet = evening(customers=1, times=0.1, seconds=15.0)
-    before = fleet.seen["units inside"] + fleet.seen["units beyond"]
+    before = fleet.counts["units within quota"] + fleet.counts["units over quota"]
     for n in range(120):
-        fleet.ask("c0", n % 30, 3.0)
+        fleet.send_request("c0", n % 30, 3.0)
         fleet.run(10.0)
     fleet.run(2000.0)
-    assert fleet.seen["units inside"] + fleet.seen["units beyond"] - before <= 2.2 * PLAN.burst
+    assert fleet.counts["units within quota"] + fleet.counts["units over quota"] - before <= 2.2 * PLAN.burst
 
 
 def test_calls_stay_near_one_a_request() -> None:
     # Guards the counter: what ran over is taken off once, not again with each reply that shows it.
     for times in (0.3, 1.0, 4.0):
-        seen = evening(customers=20, times=times).seen
-        assert seen["calls"] < 1.7 * seen["asked"], times
+        seen = evening(customers=20, times=times).counts
+        assert seen["counter calls"] < 1.7 * seen["requests"], times
 
 
 def long_silent(fleet: Fleet) -> None:
     """The counter has given no answer for seconds, and every door knows."""
-    fleet.silent = True
+    fleet.is_counter_unreachable = True
     for limiter in fleet.limiters:
         while not limiter.contention.is_backoff_at_max:
             limiter.contention.on_failure(fleet.now)
@@ -79,22 +79,22 @@
     served = {1: [0, 0], 4: [0, 0], 6: [0, 0]}
     long_silent(fleet)
     for n in range(240):
-        units, before = (1, 4, 6)[n % 3], fleet.seen["sends"]
-        fleet.ask(f"c{n % 80}", fleet.random.randrange(60), units, sharing_limiters=60)
+        units, before = (1, 4, 6)[n % 3], fleet.counts["attempts"]
+        fleet.send_request(f"c{n % 80}", fleet.random.randrange(60), units, sharing_limiters=60)
         fleet.run(33.0)
-        served[units][0] += fleet.seen["sends"] - before
+        served[units][0] += fleet.counts["attempts"] - before
         served[units][1] += 1
     assert all(got > 0.6 * asked for got, asked in served.values()), served
-    assert fleet.seen["units beyond"] < 0.1 * fleet.seen["units inside"]
+    assert fleet.counts["units over quota"] < 0.1 * fleet.counts["units within quota"]
 
 
 def test_what_a_silent_counter_keeps_away_for_good_is_told_at_once() -> None:
     fleet = Fleet(60, plans=(PLAN,))
     long_silent(fleet)
     for _ in range(3):  # the first takes what the door may let go
-        fleet.ask("c0", 0, 4.0, sharing_limiters=60)
+        fleet.send_request("c0", 0, 4.0, sharing_limiters=60)
         fleet.run(50.0)
-    assert (fleet.seen["sends"], fleet.seen["refused"]) == (1, 2)
+    assert (fleet.counts["attempts"], fleet.counts["rejected"]) == (1, 2)
 
 
 def test_a_storm_that_the_counter_can_not_be_asked_about_is_not_all_let_in() -> None:
@@ -107,9 +107,9 @@
     for _ in range(6000):
         customer = fleet.random.randrange(60)
         door = (customer + fleet.random.randrange(30)) % 40
-        fleet.ask(f"c{customer}", door, fleet.random.randint(1, 6))
+        fleet.send_request(f"c{customer}", door, fleet.random.randint(1, 6))
         fleet.run(2.5)
-    assert fleet.seen["units beyond"] < 2.5 * fleet.seen["units inside"]  # 3.5 without
+    assert fleet.counts["units over quota"] < 2.5 * fleet.counts["units within quota"]  # 3.5 without
 
 
 def test_few_doors_keep_their_blocks() -> None:
@@ -141,17 +141,17 @@
     while fleet.now - shared_counter.window_at("c0", fleet.now)[1] < shared_counter.WINDOW_MS / 2:
         fleet.run(1000.0)
     for door in range(4):
-        fleet.ask("c0", door, 1.0)
+        fleet.send_request("c0", door, 1.0)
     fleet.run(1000.0)
-    fleet.ask("c0", 9, 6.0)
+    fleet.send_request("c0", 9, 6.0)
     fleet.run(100.0)
-    assert fleet.seen["refused"] == 0
-    assert fleet.seen["units inside"] == 10
+    assert fleet.counts["rejected"] == 0
+    assert fleet.counts["units within quota"] == 10
     number, began = shared_counter.window_at("c0", fleet.now)
     store = shared_counter.units_left(
-        PLAN, began, fleet.now, fleet.counted[shared_counter.counter_key("c0", number)]
+        PLAN, began, fleet.now, fleet.counter_totals[shared_counter.counter_key("c0", number)]
     )
-    assert abs(store - fleet.store("c0", PLAN)) < PLAN.burst / 2
+    assert abs(store - fleet.exact_balance("c0", PLAN)) < PLAN.burst / 2
 
 
 def test_a_customer_that_was_let_go_comes_back_to_the_same_store() -> None:
@@ -161,13 +161,13 @@
     while fleet.now - shared_counter.window_at("c0", fleet.now)[1] > 1000.0:
         fleet.run(500.0)
     for door in range(4):
-        fleet.ask("c0", door, 3.0)
+        fleet.send_request("c0", door, 3.0)
         fleet.run(100.0)
     fleet.run(500.0)
     limiter = fleet.limiters[3]
     limiter.housekeeper.evict(limiter.tenants.tenants["c0"], fleet.now)
     assert "c0" not in limiter.tenants.tenants
     assert limiter.tenants.knows("c0")
-    fleet.ask("c0", 3, 1.0)
+    fleet.send_request("c0", 3, 1.0)
     fleet.run(200.0)
-    assert max(abs(total) for total in fleet.counted.values()) < 2 * PLAN.burst
+    assert max(abs(total) for total in fleet.counter_totals.values()) < 2 * PLAN.burst
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -1,4 +1,4 @@
-"""The operating days on sockets in memory: large values that flow, staff's door, bans, and what moves on."""
+"""Streaming of large values, the operator API, manual overrides and handovers, on sockets in memory."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from scalelb.transport.admin import CALLERS_MOST, AdminDoor
 
 FLOWS = {
-    "a long value is passed on while it comes": """
+    "a long value is forwarded while it is received": """
         client send {call(1)}
         backend expect CALL.GET
         backend send *3\\n$300000\\nabc
@@ -36,7 +36,7 @@
         client send {call(2)}
         backend expect 0000000000000002
         """,
-    "no deadline cuts off what still comes": """
+    "no deadline cuts off a value that is being streamed": """
         client send {call(1, wait=600)}
         backend expect CALL.GET
         backend send *3\\n$300000\\nabc
@@ -49,7 +49,7 @@
         client send {call(2)}
         backend expect 0000000000000002
         """,
-    "one that breaks in the middle ends the client's connection and is not sent anew": """
+    "a value that breaks off ends the client's connection and is not retried": """
         client send {call(1)}
         client2 send {call(2)}
         backend expect CALL.GET
@@ -62,7 +62,7 @@
         backend2 send *3\\n$2\\nok\\n$-1\\n$-1\\n
         client2 expect ok
         """,
-    "one that stands still is given up": """
+    "a stalled value is abandoned": """
         client send {call(1)}
         backend expect CALL.GET
         backend send *3\\n$300000\\nabc
@@ -70,7 +70,7 @@
         backend closed
         client closed
         """,
-    "one longer than it says is never ended as though it were whole": """
+    "a value longer than announced does not end like a complete one": """
         client send {call(1)}
         backend expect CALL.GET
         backend send *3\\n$300000\\n{'d' * 300001}
@@ -78,7 +78,7 @@
         client closed
         backend closed
         """,
-    "one behind another answer waits, and its backend is read no further": """
+    "a value behind another answer waits, and reading from its backend is paused": """
         client send {call(1) + call(2)}
         backend expect 0000000000000001
         backend2 expect 0000000000000002
@@ -91,7 +91,7 @@
         backend2 send \\n$-1\\n$-1\\n
         client expect dddd
         """,
-    "one behind another answer that breaks is sent anew, as nothing of it has left": """
+    "a value that breaks off behind another answer is retried, as the client has received nothing of it": """
         client send {call(1) + call(2)}
         backend expect 0000000000000001
         backend2 expect 0000000000000002
@@ -102,14 +102,14 @@
         backend send *3\\n$2\\nok\\n$-1\\n$-1\\n
         client expect $2\\nok\\n$2\\nno\\n
         """,
-    "a client that leaves in the middle has its fetch given up": """
+    "the attempt is abandoned when its client disconnects": """
         client send {call(1)}
         backend expect CALL.GET
         backend send *3\\n$300000\\nabc
         client close
         backend closed
         """,
-    "a value beyond all measure is hung up on": """
+    "the connection is closed on a value that is too long": """
         client send {call(1)}
         backend expect CALL.GET
         backend send *3\\n$3000000000\\nabc
@@ -119,11 +119,11 @@
 
 
 @pytest.mark.parametrize("name", FLOWS)
-def test_flow(name: str) -> None:
+def test_streamed_value(name: str) -> None:
     Stage(cancels_attempts=True).play(FLOWS[name])
 
 
-def test_a_client_may_spend_two_seconds_on_a_head() -> None:
+def test_client_may_take_two_seconds_to_send_a_request_head() -> None:
     stage = Stage()
     stage.play("""
         client send {call(1)[:20]}
@@ -133,7 +133,7 @@
         """)
 
 
-def test_the_figures_are_those_of_the_answers_that_went_out() -> None:
+def test_stats_count_the_answers_that_were_sent() -> None:
     stage = Stage(cancels_attempts=True)
     stage.play("""
         client send {call(1)}
@@ -147,61 +147,63 @@
     stats = stage.program.stats()
     assert (stats["active"], stats["pool_size"], stats["pool_ejected"]) == (2, 1, 0)
     stage.play("wait 400\n client2 expect -BUSY")
-    told = stage.program.stats()["responses"]
-    assert told["fetch-cards"] == {"ok": 1, "shed": 0, "errors": 0, "tries": 2}
-    assert told["record-answer"] == {"ok": 0, "shed": 1, "errors": 0, "tries": 1}
+    responses = stage.program.stats()["responses"]
+    assert responses["fetch-cards"] == {"ok": 1, "shed": 0, "errors": 0, "tries": 2}
+    assert responses["record-answer"] == {"ok": 0, "shed": 1, "errors": 0, "tries": 1}
     stage.play("backend send *3\\n$300000\\nabc\n backend close\n client closed")
     assert stage.program.stats()["responses"]["fetch-cards"]["errors"] == 1
     assert stage.program.stats()["active"] == 0
 
 
-def test_a_backend_out_by_hand_gets_nothing_whatever_the_list_says_and_comes_back_cold() -> None:
+def test_ejected_backend_gets_no_requests_and_is_readmitted_with_slow_start() -> None:
     stage = Stage(backends=2)
     assert stage.program.override_endpoint("s1", True) == 200
     assert stage.program.override_endpoint("s1", True) == 200
-    assert stage.program.override_endpoint("nobody", True) == 404
+    assert stage.program.override_endpoint("unknown", True) == 404
     stage.play("director expect GET\n director send {listing(2, entry(0), entry(1))}")
-    for ident in range(1, 9):
-        stage.play(f"client send {{call({ident}, swap=('0000ad', '0000a{ident}'))}}")
+    for number in range(1, 9):
+        stage.play(f"client send {{call({number}, swap=('0000ad', '0000a{number}'))}}")
     assert "backend1" not in stage.net.wires
     assert stage.program.override_endpoint("s1", False) == 200
     stage.wait(0)
-    assert [s.endpoint.name for s in stage.loop.core.limiter.selector.slow_start.warming_up] == ["s1"]
+    assert [tracked.endpoint.name for tracked in stage.loop.core.limiter.selector.slow_start.warming_up] == [
+        "s1"
+    ]
     assert stage.program.stats()["pool_ejected"] == 0
 
 
-class Caller:
-    """A call at the operators' door, in memory."""
+class OperatorCall:
+    """A call of the operator API, in memory."""
 
-    def __init__(self, stage: Stage, door: AdminDoor, text: bytes = b"") -> None:
-        self.wire: Any = stage.net.join("admin", door)
-        if text:
-            self.wire.protocol.dataReceived(text)
+    def __init__(self, stage: Stage, operator_api: AdminDoor, data: bytes = b"") -> None:
+        self.wire: Any = stage.net.join("admin", operator_api)
+        if data:
+            self.wire.protocol.dataReceived(data)
 
     @property
     def status(self) -> int:
         return int(self.wire.value().split()[1]) if self.wire.value() else 0
 
 
-def calls(method: str, path: str, more: bytes = b"") -> bytes:
-    return f"{method} {path} HTTP/1.1\r\nHost: x\r\n".encode() + more + b"\r\n"
+def http_request(method: str, path: str, headers: bytes = b"") -> bytes:
+    return f"{method} {path} HTTP/1.1\r\nHost: x\r\n".encode() + headers + b"\r\n"
 
 
 @pytest.mark.parametrize(
-    ("text", "status"),
+    ("data", "status"),
     [
-        (calls("GET", "/healthcheck"), 200),
-        (calls("GET", "/stats"), 200),
-        (calls("POST", "/deck-servers/s0/maint", b"Content-Length: 0\r\n"), 200),
-        (calls("POST", "/deck-servers/s0/maint", b"Content-Length: 3\r\n") + b"abc", 200),
-        (calls("POST", "/deck-servers/s7/maint"), 404),
-        (calls("POST", "/deck-servers//maint"), 404),
-        (calls("POST", "/deck-servers/" + "s" * 300 + "/maint"), 404),
-        (calls("POST", "/deck-servers/s0/rest"), 404),
-        (calls("GET", "/deck-servers/s0/maint"), 405),
-        (calls("POST", "/stats"), 405),
-        (calls("GET", "/"), 404),
-        (calls("GET", "/" + "x" * 2000), 400),
+        (http_request("GET", "/healthcheck"), 200),
+        (http_request("GET", "/stats"), 200),
+        (http_request("POST", "/deck-servers/s0/maint", b"Content-Length: 0\r\n"), 200),
+        (http_request("POST", "/deck-servers/s0/maint", b"Content-Length: 3\r\n") + b"abc", 200),
+        (http_request("POST", "/deck-servers/s7/maint"), 404),
+        (http_request("POST", "/deck-servers//maint"), 404),
+        (http_request("POST", "/deck-servers/" + "s" * 300 + "/maint"), 404),
+        (http_request("POST", "/deck-servers/s0/rest"), 404),
+        (http_request("GET", "/deck-servers/s0/maint"), 405),
+        (http_request("POST", "/stats"), 405),
+        (http_request("GET", "/"), 404),
+        (http_request("GET", "/" + "x" * 2000), 400),
         (b"nonsense\r\n\r\n", 400),
         (b"GET /stats HTTP/1.1\r\nHost: x\r\nContent-Length: -4\r\n\r\n", 400),
         (b"GET /stats HTTP/1.1\r\n" + b"X: " + b"y" * 9000, 400),
@@ -209,152 +211,156 @@
     ],
     ids=lambda value: str(value)[:60],
 )
-def test_the_door_answers_each_call_once_and_ends_it(text: bytes, status: int) -> None:
+def test_operator_api_answers_each_call_once_and_closes_the_connection(data: bytes, status: int) -> None:
     stage = Stage()
-    door = AdminDoor(stage.net, stage.program, stage.log)
-    caller = Caller(stage, door, text)
-    assert caller.status == status
-    assert caller.wire.value().count(b"HTTP/1.1") == (status > 0)
-    assert caller.wire.ended is (status > 0)
+    operator_api = AdminDoor(stage.net, stage.program, stage.log)
+    call = OperatorCall(stage, operator_api, data)
+    assert call.status == status
+    assert call.wire.value().count(b"HTTP/1.1") == (status > 0)
+    assert call.wire.ended is (status > 0)
     stage.wait(5100)
-    assert caller.wire.ended
-    assert not door.callers
-    assert door.calls == {status: 1}  # counted, for the log
+    assert call.wire.ended
+    assert not operator_api.callers
+    assert operator_api.calls == {status: 1}  # for the tally log line
     stage.play("client send {call(1)}")
-    assert ("backend" in stage.net.wires) is (b"/s0/maint" not in text or status != 200)
+    assert ("backend" in stage.net.wires) is (b"/s0/maint" not in data or status != 200)
 
 
-def test_callers_that_say_nothing_make_room_for_one_who_asks() -> None:
+def test_idle_operator_connections_are_closed_for_a_caller_that_sends_a_request() -> None:
     stage = Stage()
-    door = AdminDoor(stage.net, stage.program, stage.log)
-    silent = [Caller(stage, door) for _ in range(3 * CALLERS_MOST)]
-    assert len(door.callers) == CALLERS_MOST
-    assert Caller(stage, door, calls("GET", "/healthcheck")).status == 200
-    assert sum(not caller.wire.ended for caller in silent) == CALLERS_MOST - 1
+    operator_api = AdminDoor(stage.net, stage.program, stage.log)
+    idle_calls = [OperatorCall(stage, operator_api) for _ in range(3 * CALLERS_MOST)]
+    assert len(operator_api.callers) == CALLERS_MOST
+    assert OperatorCall(stage, operator_api, http_request("GET", "/healthcheck")).status == 200
+    assert sum(not call.wire.ended for call in idle_calls) == CALLERS_MOST - 1
 
 
-words = st.dictionaries(
+override_copies = st.dictionaries(
     st.sampled_from("abcd"), st.builds(Override, st.integers(0, 3).map(float), st.booleans())
 )
 
 
-@given(words, words, words)
-def test_bans_join_in_any_order_and_more_than_once(a: Any, b: Any, c: Any) -> None:
-    def joined(*copies: Any) -> dict[str, Override]:
-        bans = EndpointOverrides()
+@given(override_copies, override_copies, override_copies)
+def test_overrides_can_be_merged_in_any_order_and_repeatedly(first: Any, second: Any, third: Any) -> None:
+    def merged(*copies: Any) -> dict[str, Override]:
+        overrides = EndpointOverrides()
         for copy in copies:
-            bans.merge(copy.items())
-        return bans.by_endpoint
+            overrides.merge(copy.items())
+        return overrides.by_endpoint
 
-    assert joined(a, b, c) == joined(c, b, a, b, a)
+    assert merged(first, second, third) == merged(third, second, first, second, first)
 
 
-def test_bans_are_bounded_and_the_one_that_bans_nobody_gives_way() -> None:
-    bans = EndpointOverrides()
-    bans.on_endpoints(servers(MAX_OVERRIDES + 2), True)
-    names = list(bans.listed)
-    assert all(bans.set_by_operator(name, True, 1.0) for name in names[:MAX_OVERRIDES])
-    assert not bans.set_by_operator(names[MAX_OVERRIDES], True, 2.0)
-    assert bans.set_by_operator(names[0], False, 3.0)
-    assert bans.set_by_operator(names[MAX_OVERRIDES], True, 4.0)
-    assert len(bans.by_endpoint) == MAX_OVERRIDES
-    assert bans.is_ejected(names[MAX_OVERRIDES])
-    assert not bans.is_ejected(names[0])
+def test_overrides_are_bounded_and_one_without_an_ejection_is_evicted_first() -> None:
+    overrides = EndpointOverrides()
+    overrides.on_endpoints(servers(MAX_OVERRIDES + 2), True)
+    names = list(overrides.listed)
+    assert all(overrides.set_by_operator(name, True, 1.0) for name in names[:MAX_OVERRIDES])
+    assert not overrides.set_by_operator(names[MAX_OVERRIDES], True, 2.0)
+    assert overrides.set_by_operator(names[0], False, 3.0)
+    assert overrides.set_by_operator(names[MAX_OVERRIDES], True, 4.0)
+    assert len(overrides.by_endpoint) == MAX_OVERRIDES
+    assert overrides.is_ejected(names[MAX_OVERRIDES])
+    assert not overrides.is_ejected(names[0])
 
 
-def test_what_a_life_leaves_is_spent_by_one_of_the_two() -> None:
-    # Guards the quotas through upgrades: ten in a row, at full demand, give no more than rate and burst do.
+def test_handed_over_units_are_spent_by_one_incarnation_only() -> None:
+    # Ten upgrades in a row, at full demand, must not grant more than rate and burst.
     fleet = Fleet(1, has_counter=False, plans=(Plan(rate_per_s=10.0, burst=20.0),), max_units=1.0)
     random = Random(3)
     for _ in range(10):
         for _ in range(100):
-            fleet.ask(f"c{random.randrange(3)}", 0, 1.0, sharing_limiters=1)
+            fleet.send_request(f"c{random.randrange(3)}", 0, 1.0, sharing_limiters=1)
             fleet.run(20)
         limiter = fleet.limiters[0]
-        fresh = Fleet(1, has_counter=False, max_units=1.0, plans=fleet.settings.plans).limiters[0]
-        account = orjson.loads(orjson.dumps(leave_handover(limiter, fleet.now)))
-        assert take_handover(fresh, account, fleet.now)[1] == 0
-        fleet.limiters[0] = fresh
-        fleet.give(fresh, EndpointsListed(servers(60), is_complete=True))
-    assert fleet.seen["units beyond"] == 0
-    assert fleet.seen["units inside"] > 0.8 * 3 * (20 + 10 * 20)
+        successor = Fleet(1, has_counter=False, max_units=1.0, plans=fleet.settings.plans).limiters[0]
+        handover = orjson.loads(orjson.dumps(leave_handover(limiter, fleet.now)))
+        assert take_handover(successor, handover, fleet.now)[1] == 0
+        fleet.limiters[0] = successor
+        fleet.handle(successor, EndpointsListed(servers(60), is_complete=True))
+    assert fleet.counts["units over quota"] == 0
+    assert fleet.counts["units within quota"] > 0.8 * 3 * (20 + 10 * 20)
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
-        lambda a: a.update(at="now"), lambda a: a.update(at=0), lambda a: a["figures"].update(usual=-1),
-        lambda a: a["customers"].update(c0=[1e99] * 9), lambda a: a["customers"].update(c0="x"),
-        lambda a: a["servers"].update({next(iter(a["servers"])): [0.0] * 3}),
-        lambda a: a.update(customers=[]),
-        lambda a: a["customers"].update(c0=[True, 1, 1, 1, 1, 1, 1, 1, 1]),
+        lambda content: content.update(at="now"), lambda content: content.update(at=0),
+        lambda content: content["figures"].update(usual=-1),
+        lambda content: content["customers"].update(c0=[1e99] * 9),
+        lambda content: content["customers"].update(c0="x"),
+        lambda content: content["servers"].update({next(iter(content["servers"])): [0.0] * 3}),
+        lambda content: content.update(customers=[]),
+        lambda content: content["customers"].update(c0=[True, 1, 1, 1, 1, 1, 1, 1, 1]),
     ],
 )  # fmt: skip
-def test_an_account_that_can_not_be_is_left_out_entry_by_entry(spoil: Any) -> None:
+def test_malformed_entries_of_a_handover_are_left_out_one_by_one(corrupt: Any) -> None:
     fleet = Fleet(2, has_counter=False)
-    fleet.ask("c0", 0, 1.0, sharing_limiters=1)
-    account = orjson.loads(orjson.dumps(leave_handover(fleet.limiters[0], fleet.now)))
-    spoil(account)
+    fleet.send_request("c0", 0, 1.0, sharing_limiters=1)
+    handover = orjson.loads(orjson.dumps(leave_handover(fleet.limiters[0], fleet.now)))
+    corrupt(handover)
     limiter = fleet.limiters[1]
-    usual = limiter.estimates.latency_ms
-    take_handover(limiter, account, fleet.now)
-    assert limiter.estimates.latency_ms == usual
-    assert "c0" not in limiter.tenants.records.inherited or account["customers"]["c0"][0] < 1e9
+    latency_ms = limiter.estimates.latency_ms
+    take_handover(limiter, handover, fleet.now)
+    assert limiter.estimates.latency_ms == latency_ms
+    assert "c0" not in limiter.tenants.records.inherited or handover["customers"]["c0"][0] < 1e9
 
 
-def test_a_limiter_without_door_or_socket_reads_no_folder_and_writes_none() -> None:
+def test_limiter_without_operator_api_or_inherited_socket_uses_no_shared_folder() -> None:
     stage = Stage()
     assert stage.program.incarnation is None
     assert stage.program.admin is None
 
 
-def test_what_is_read_ahead_of_slow_clients_is_bounded_over_all_of_them() -> None:
-    # Guards the memory: many large values at once to clients that take nothing.
+def test_memory_of_values_read_ahead_of_slow_clients_is_bounded_in_total() -> None:
+    # Many large values at once, for clients that read nothing, must not exhaust the memory.
     stage = Stage(backends=3)
-    door = stage.program.listener
-    door.ahead_most = 1_000_000
+    listener = stage.program.listener
+    listener.ahead_most = 1_000_000
     for number in range(1, 13):
         stage.play(f"client{number} send {{call({number}, swap=('0000ad', '00{number:02}ad'))}}")
-        stage.wire(f"client{number}").protocol.flushed = False  # the kernel takes no more
-    fed = [wire for name, wires in stage.net.wires.items() if name.startswith("backend") for wire in wires]
-    for wire in fed:
+        stage.wire(f"client{number}").protocol.flushed = False  # The kernel's send buffer is full.
+    backend_wires = [
+        wire for name, wires in stage.net.wires.items() if name.startswith("backend") for wire in wires
+    ]
+    for wire in backend_wires:
         wire.protocol.dataReceived(b"*3\r\n$4000000\r\n")
     for _ in range(100):
-        for wire in fed:
+        for wire in backend_wires:
             if wire.producerState != "paused":
                 wire.protocol.dataReceived(b"v" * 40_000)
-    assert len(fed) == 12
-    assert 1_000_000 <= door.ahead <= 1_000_000 + 12 * 40_000
-    assert all(wire.producerState == "paused" for wire in fed)
-    for session in list(door.sessions):
+    assert len(backend_wires) == 12
+    assert 1_000_000 <= listener.ahead <= 1_000_000 + 12 * 40_000
+    assert all(wire.producerState == "paused" for wire in backend_wires)
+    for session in list(listener.sessions):
         session.flushed = True
         session.drained()
-    assert door.ahead == 0
-    assert all(wire.producerState != "paused" for wire in fed)
+    assert listener.ahead == 0
+    assert all(wire.producerState != "paused" for wire in backend_wires)
 
 
-def test_who_comes_to_a_life_that_has_left_gets_no_share_and_none_is_forgotten_by_the_next() -> None:
+def test_new_tenant_after_a_handover_starts_empty_and_the_successor_knows_all_tenants() -> None:
     old, new = Fleet(2, has_counter=False), Fleet(2, has_counter=False)
     limiter = old.limiters[0]
     limiter.tenants.records.put(
         "c9", TenantRecord(0.0, 0.0, 0.0, 0.0, -1, old.now, old.now + 5000.0), old.now
     )
-    account = orjson.loads(orjson.dumps(leave_handover(limiter, old.now)))
-    old.ask("stranger", 0, 1.0, sharing_limiters=1)
-    assert limiter.tenants.tenants["stranger"].bucket.balance <= 0.0
-    take_handover(new.limiters[0], account, new.now)
-    new.ask("c9", 0, 1.0, sharing_limiters=1)
+    handover = orjson.loads(orjson.dumps(leave_handover(limiter, old.now)))
+    old.send_request("new", 0, 1.0, sharing_limiters=1)
+    assert limiter.tenants.tenants["new"].bucket.balance <= 0.0
+    take_handover(new.limiters[0], handover, new.now)
+    new.send_request("c9", 0, 1.0, sharing_limiters=1)
     assert new.limiters[0].tenants.tenants["c9"].bucket.balance <= 0.0
 
 
-def test_keys_that_one_door_has_counted_move_on_too() -> None:
+def test_handover_includes_the_charged_idempotency_keys() -> None:
     old, new = Fleet(1).limiters[0], Fleet(1).limiters[0]
     now = 1_000_000.0
     old.charged_keys.record("c1", "k1", 1, now, 4000.0)
     old.charged_keys.record("c1", "k0", 1, now - 9000.0, 4000.0)
-    account = orjson.loads(orjson.dumps(leave_handover(old, now)))
-    account["keys"].append(["c1", 7, now, 1])
-    assert take_handover(new, account, now)[1] == 1
+    handover = orjson.loads(orjson.dumps(leave_handover(old, now)))
+    handover["keys"].append(["c1", 7, now, 1])
+    assert take_handover(new, handover, now)[1] == 1
     assert new.charged_keys.is_charged_elsewhere("c1", "k1", 2, now)
     assert not new.charged_keys.is_charged_elsewhere("c1", "k1", 1, now)
     assert not new.charged_keys.is_charged_elsewhere("c1", "k0", 2, now)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -121,7 +121,7 @@
         self.slow, self.free_at = 1.0, defaultdict[str, float](float)
         self.served: list[float] = []
 
-    def carry_out(self, limiter: Any, action: Action) -> None:
+    def execute(self, limiter: Any, action: Action) -> None:
         if isinstance(action, SendAttempt):
             begins = max(self.now, self.free_at[action.endpoint])
             self.free_at[action.endpoint] = begins + 100.0 * self.slow
@@ -133,15 +133,15 @@
             outcome, after = (Outcome.TIMEOUT, wait) if late else (Outcome.OK, took)
             self.served += [] if late else [self.now + took]
             told = (action.request_id, sends, action.endpoint, outcome, after, not late)
-            self.later(limiter, after, AttemptEnded(*told))
+            self.handle_later(limiter, after, AttemptEnded(*told))
         elif isinstance(action, RejectRequest | FailRequest):
             if self.random.random() < 0.7:
-                self.at(200.0, self.come)
+                self.schedule(200.0, self.come)
         else:
-            super().carry_out(limiter, action)
+            super().execute(limiter, action)
 
     def come(self) -> None:
-        self.ask(f"c{self.random.randrange(1000)}", self.random.randrange(len(self.limiters)), 2.0)
+        self.send_request(f"c{self.random.randrange(1000)}", self.random.randrange(len(self.limiters)), 2.0)
 
 
 def served_after_a_jam() -> float:
