--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""The program as it is run, a subprocess among stand-ins on loopback, each at a port of its own choosing."""
+"""Runs the daemon as a subprocess among stand-ins on loopback; each listens on a free port."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from test_wirehost import OPTIONS
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 60.0  # for what must come in the end; nothing is judged by how soon
+TIMEOUT_S = 60.0  # For what must happen eventually; no test judges how soon it happens.
 SETTINGS: dict[str, Any] = json.loads(json.dumps(OPTIONS))
 SETTINGS["classes"][0] |= {"name": "fetch-cards", "aim-ms": 30_000.0, "hard-limit-ms": 60_000.0}
 SETTINGS["tariffs"][0] |= {"name": "basic"}
@@ -28,14 +28,14 @@
 
 
 class Backend(threading.Thread):
-    """A deck server: answers each command once it may."""
+    """A backend that answers each command once `may_answer` is set."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
         self.server = socket.create_server(("127.0.0.1", 0))
-        self.usage = b""  # figures on use that its answers carry
-        self.may, self.came = threading.Event(), threading.Event()
-        self.may.set()
+        self.usage = b""  # usage figures in its answers
+        self.may_answer, self.request_received = threading.Event(), threading.Event()
+        self.may_answer.set()
         self.start()
 
     def run(self) -> None:
@@ -44,83 +44,86 @@
             threading.Thread(target=self.serve, args=(connection,), daemon=True).start()
 
     def serve(self, connection: socket.socket) -> None:
-        with suppress(OSError):  # the limiter may be killed at any step
+        with suppress(OSError):  # The limiter may be killed at any time.
             while connection.recv(65536):
-                self.came.set()
-                self.may.wait(PATIENCE)
+                self.request_received.set()
+                self.may_answer.wait(TIMEOUT_S)
                 usage = b"$%d\r\n%s\r\n" % (len(self.usage), self.usage) if self.usage else b"$-1\r\n"
                 connection.sendall(b"*3\r\n$2\r\nok\r\n" + usage + b"$-1\r\n")
 
 
 class Peer:
-    """A peer whose every step the test takes; `held`: connections to it stay under way until it accepts."""
+    """A server whose every step the test controls.
 
-    def __init__(self, held: bool = False) -> None:
-        self.server = socket.create_server(("127.0.0.1", 0), backlog=0 if held else 128)
-        self.server.settimeout(PATIENCE)
+    With `has_full_backlog`, connections to it stay pending until it accepts."""
+
+    def __init__(self, has_full_backlog: bool = False) -> None:
+        self.server = socket.create_server(("127.0.0.1", 0), backlog=0 if has_full_backlog else 128)
+        self.server.settimeout(TIMEOUT_S)
         self.port: int = self.server.getsockname()[1]
-        self.filler = socket.create_connection(("127.0.0.1", self.port)) if held else None
+        self.filler = socket.create_connection(("127.0.0.1", self.port)) if has_full_backlog else None
 
-    def dialled(self) -> None:
-        """Wait until a connection to it is under way: its first packet is out, and nobody answers."""
+    def wait_until_dialled(self) -> None:
+        """Wait until a connection to it is pending: its SYN is sent and not answered."""
         for _ in eventually():
-            if "02" in states(self.port, theirs=True):
+            if "02" in tcp_states(self.port, is_remote=True):
                 return
 
     def accept(self) -> socket.socket:
-        """The next connection that is not the one which kept others out."""
+        """Accept the next connection, after the one that filled the backlog."""
         if self.filler is not None:
             self.server.accept()[0].close()
             self.filler.close()
             self.filler = None
         connection, _ = self.server.accept()
-        connection.settimeout(PATIENCE)
+        connection.settimeout(TIMEOUT_S)
         return connection
 
 
-def states(port: int, theirs: bool = False) -> list[str]:
-    """What the kernel says of all connections at a port of ours, or of `theirs`: 01 open, 02 under way, 08
-    ended by the peer."""
+def tcp_states(port: int, is_remote: bool = False) -> list[str]:
+    """Return the kernel's states of all connections at a local port, or at a remote one.
+
+    01 is ESTABLISHED, 02 SYN_SENT and 08 CLOSE_WAIT, that is, closed by the peer."""
     lines = map(str.split, Path("/proc/net/tcp").read_text().splitlines()[1:])
-    return [fields[3] for fields in lines if fields[1 + theirs].endswith(f":{port:04X}")]
+    return [fields[3] for fields in lines if fields[1 + is_remote].endswith(f":{port:04X}")]
 
 
 def eventually() -> Iterator[None]:
-    """Look again and again for what must come; nothing is judged by how soon."""
-    end = time.monotonic() + PATIENCE
-    while time.monotonic() < end:
+    """Yield until a condition that the loop checks holds; fail after `TIMEOUT_S`."""
+    deadline = time.monotonic() + TIMEOUT_S
+    while time.monotonic() < deadline:
         yield
         time.sleep(0.005)
-    raise AssertionError("it has not come")
+    raise AssertionError("the condition did not hold in time")
 
 
-def until(connection: socket.socket, what: bytes) -> bytes:
-    """All that comes, up to and with this."""
-    came = b""
-    while what not in came:
-        more = connection.recv(65536)
-        assert more, f"it ended after {came!r}"
-        came += more
-    return came
+def read_until(connection: socket.socket, marker: bytes) -> bytes:
+    """Read until the received bytes contain `marker`, and return them."""
+    received = b""
+    while marker not in received:
+        data = connection.recv(65536)
+        assert data, f"the connection ended after {received!r}"
+        received += data
+    return received
 
 
-def rest(connection: socket.socket) -> bytes:
-    """All that comes up to the peer's end; a reset is no end."""
-    came = b""
-    while more := connection.recv(65536):
-        came += more
-    return came
+def read_to_end(connection: socket.socket) -> bytes:
+    """Read until the peer closes the connection; a reset raises `ConnectionResetError`."""
+    received = b""
+    while data := connection.recv(65536):
+        received += data
+    return received
 
 
-class Director(BaseHTTPRequestHandler):
-    """The director: one list, and watches that are held for as long as the test runs."""
+class DiscoveryHandler(BaseHTTPRequestHandler):
+    """A discovery service with one endpoint list; its watches stay open for as long as the test runs."""
 
     protocol_version = "HTTP/1.1"
     entries: tuple[dict[str, Any], ...] = ()
 
     def do_GET(self) -> None:
         if "from=" in self.path:
-            threading.Event().wait(PATIENCE)
+            threading.Event().wait(TIMEOUT_S)
         body = json.dumps({"generation": 3, "reset": True, "instances": self.entries}).encode()
         with suppress(OSError):
             self.send_response(200)
@@ -131,14 +134,14 @@
     def log_message(self, *_: Any) -> None: ...
 
 
-class Limiter:
-    """The program, its log and its port."""
+class LimiterProcess:
+    """The daemon as a process, with its log and its port."""
 
     def __init__(
         self,
         folder: Path,
-        director: int,
-        heir: socket.socket | None = None,
+        discovery_port: int,
+        inherited_socket: socket.socket | None = None,
         admin: str = "",
         settings: dict[str, Any] | None = None,
         known: tuple[dict[str, Any], ...] = (),
@@ -148,7 +151,7 @@
         config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{director}",
+            "discovery": f"127.0.0.1:{discovery_port}",
             "seed": "1",
             "settings": settings or SETTINGS,
         }
@@ -157,8 +160,8 @@
         if sockets:
             config["limits"] = {"sockets": sockets}
         (folder / "config.json").write_text(json.dumps(config))
-        doors = [f'[{name}]\nlisten = "{at}"\n' for name, at in fronts.items()]
-        (folder / "fronts.toml").write_text("".join(doors))
+        sections = [f'[{name}]\nlisten = "{address}"\n' for name, address in fronts.items()]
+        (folder / "fronts.toml").write_text("".join(sections))
         environment = {
             **os.environ,
             "EDGE_CONFIG": str(folder / "config.json"),
@@ -166,32 +169,32 @@
         }
         (folder / "tmp").mkdir(exist_ok=True)
         environment |= {"TMPDIR": str(folder / "tmp"), "EDGE_ADMIN": admin}
-        handed = [heir.fileno()] if heir is not None else []
-        environment |= {"EDGE_FD": str(handed[0])} if handed else {}
+        inherited_descriptors = [inherited_socket.fileno()] if inherited_socket is not None else []
+        environment |= {"EDGE_FD": str(inherited_descriptors[0])} if inherited_descriptors else {}
         self.process = subprocess.Popen(
             [sys.executable, "-m", "scalelb.program"],
-            stderr=subprocess.PIPE, env=environment, cwd=ROOT, text=True, pass_fds=handed,
+            stderr=subprocess.PIPE, env=environment, cwd=ROOT, text=True, pass_fds=inherited_descriptors,
         )  # fmt: skip
         if sockets:
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
-        self.started = self.until("started")
+        self.started = self.wait_for_event("started")
 
-    def until(self, event: str, **told: Any) -> dict[str, Any]:
-        """The next line of this event that says so."""
+    def wait_for_event(self, event: str, **expected: Any) -> dict[str, Any]:
+        """Read the log up to the next line of this event with the expected fields, and return its fields."""
         assert self.process.stderr is not None
-        late = threading.Timer(PATIENCE, self.process.kill)  # a line that never comes
-        late.start()
+        watchdog = threading.Timer(TIMEOUT_S, self.process.kill)  # Ends the read if the line never comes.
+        watchdog.start()
         try:
             for line in self.process.stderr:
-                said: dict[str, Any] = json.loads(line)
-                if said["event"] == event and told.items() <= said.items():
-                    return said
+                fields: dict[str, Any] = json.loads(line)
+                if fields["event"] == event and expected.items() <= fields.items():
+                    return fields
         finally:
-            late.cancel()
-        raise AssertionError(f"the program ended before '{event}'")
+            watchdog.cancel()
+        raise AssertionError(f"the process ended before it logged '{event}'")
 
-    def client(self, port: int | None = None) -> socket.socket:
-        return socket.create_connection(("127.0.0.1", port or self.started["port"]), PATIENCE)
+    def connect(self, port: int | None = None) -> socket.socket:
+        return socket.create_connection(("127.0.0.1", port or self.started["port"]), TIMEOUT_S)
 
 
 @pytest.fixture
@@ -200,24 +203,25 @@
 
 
 @pytest.fixture
-def start(tmp_path: Path, backend: Backend) -> Iterator[Callable[..., Limiter]]:
-    at = f"127.0.0.1:{backend.server.getsockname()[1]}"
-    Director.entries = ({"instanceId": "s0", "hostPort": at, "lifecycle": "ready"},)
-    director = ThreadingHTTPServer(("127.0.0.1", 0), Director)
-    director.daemon_threads = True
-    threading.Thread(target=director.serve_forever, daemon=True).start()
-    running: list[Limiter] = []
-
-    def begin(**more: Any) -> Limiter:
-        running.append(Limiter(tmp_path, director.server_address[1], **more))
+def start_limiter(tmp_path: Path, backend: Backend) -> Iterator[Callable[..., LimiterProcess]]:
+    address = f"127.0.0.1:{backend.server.getsockname()[1]}"
+    DiscoveryHandler.entries = ({"instanceId": "s0", "hostPort": address, "lifecycle": "ready"},)
+    discovery = ThreadingHTTPServer(("127.0.0.1", 0), DiscoveryHandler)
+    discovery.daemon_threads = True
+    threading.Thread(target=discovery.serve_forever, daemon=True).start()
+    running: list[LimiterProcess] = []
+
+    def start_process(**options: Any) -> LimiterProcess:
+        running.append(LimiterProcess(tmp_path, discovery.server_address[1], **options))
         return running[-1]
 
-    yield begin
+    yield start_process
     for limiter in running:
         limiter.process.kill()
         limiter.process.communicate()
-    director.shutdown()
+    discovery.shutdown()
 
 
-def wire(text: str) -> bytes:
+def encode_lines(text: str) -> bytes:
+    """Encode a text with CRLF line ends."""
     return text.replace("\n", "\r\n").encode()
--- a/tests/test_configuration_properties.py
+++ b/tests/test_configuration_properties.py
@@ -1,4 +1,4 @@
-"""Whatever stands in the files and in the environment: a configuration, or a `ConfigError` on one line."""
+"""Arbitrary files and environment variables result in a configuration, or in a `ConfigError` of one line."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from processes import PATIENCE, SETTINGS, Limiter, wire
+from processes import SETTINGS, TIMEOUT_S, LimiterProcess, encode_lines
 from scenario import Net, Stage, call
 
 from scalelb.program import log as program_log
@@ -55,9 +55,9 @@
     "EDGE_CONFIG", "EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY", "EDGE_ADMIN", "EDGE_FD",
     "SCALELB_FAIRNESS", "SCALELB_PEERS", "SCALELB_FRONTS",
 )  # fmt: skip
-MISSING = "take this key out"
+MISSING = "remove this key"
 
-ODD_TEXTS = [
+UNUSUAL_TEXTS = [
     "", " ", "a b", "a\r\nb", "\x00", "\x7f", "\u2028", "\udcff", "abc", "basic", "own", "all", "x" * 5000,
     "127.0.0.1:80", "127.0.0.1:²", "127.0.0.1:٣", "127.0.0.1:99999", "a\r\nX: y:80", "::1:80", ":80", "0x1f",
 ]  # fmt: skip
@@ -66,7 +66,7 @@
     st.sampled_from([10**6, 2_000_000, 2**31, 2**63, 2**64, 10**400, 16**5000, -(10**400)]),
     st.floats(allow_nan=True, allow_infinity=True),
 )
-SCALARS = st.one_of(st.booleans(), NUMBERS, st.sampled_from(ODD_TEXTS), st.text(max_size=8))
+SCALARS = st.one_of(st.booleans(), NUMBERS, st.sampled_from(UNUSUAL_TEXTS), st.text(max_size=8))
 VALUES = st.one_of(
     st.sampled_from([MISSING, None]),
     SCALARS,
@@ -76,25 +76,27 @@
 
 
 def paths_of(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """The way to each value of a document, objects and lists too."""
-    inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    return [path, *(way for key, item in inner for way in paths_of(item, (*path, key)))]
+    """Return the path of each value of a document, including its objects and lists."""
+    children = (
+        value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+    )
+    return [path, *(nested_path for key, item in children for nested_path in paths_of(item, (*path, key)))]
 
 
-def changed(document: Any, path: tuple[Any, ...], value: Any) -> Any:
-    """The document with another value at a path; the document itself stays as it is."""
+def replace_value(document: Any, path: tuple[Any, ...], value: Any) -> Any:
+    """Return a copy of the document with another value at a path."""
     if not path:
         return {} if value == MISSING else value
     copy = document.copy()
     if len(path) == 1 and value == MISSING:
         del copy[path[0]]
     else:
-        copy[path[0]] = changed(document[path[0]], path[1:], value)
+        copy[path[0]] = replace_value(document[path[0]], path[1:], value)
     return copy
 
 
 def as_toml(value: Any) -> str:
-    """A value as TOML has it, integers of any size too; what TOML has no form for is left empty."""
+    """Format a value as TOML, including integers of any size; None becomes an empty string."""
     if isinstance(value, list):
         return "[" + ", ".join(map(as_toml, value)) + "]"
     if isinstance(value, dict):
@@ -107,7 +109,7 @@
 
 
 def as_json(value: Any) -> str:
-    """A value as JSON; an integer that Python does not write is written as one of many digits."""
+    """Format a value as JSON; an integer that is too long for Python to print becomes one of 5000 digits."""
     if isinstance(value, int) and not isinstance(value, bool) and abs(value) > 10**400:
         return "9" * 5000
     if isinstance(value, list):
@@ -117,8 +119,8 @@
     return json.dumps(value)
 
 
-def content(kind: str, document: Any) -> bytes:
-    """A document as its file holds it."""
+def file_content(kind: str, document: Any) -> bytes:
+    """Return the bytes of a document's file."""
     if kind == "config":
         return as_json(document).encode()
     if not isinstance(document, dict):
@@ -126,8 +128,8 @@
     return "".join(f"{json.dumps(key)} = {as_toml(item)}\n" for key, item in document.items()).encode()
 
 
-def written(folder: Path, contents: dict[str, bytes]) -> dict[str, str]:
-    """Write the files; return the environment that names them."""
+def write_files(folder: Path, contents: dict[str, bytes]) -> dict[str, str]:
+    """Write the files, and return the environment variables that name them."""
     environment = {"EDGE_CONFIG": str(folder / "config")}
     for kind, data in contents.items():
         (folder / kind).write_bytes(data)
@@ -136,42 +138,42 @@
     return environment
 
 
-def read(environment: dict[str, str], again: bool) -> Config | ConfigError:
-    """What reading ends in; any other error is a failure of the test."""
+def read_or_error(environment: dict[str, str], is_reload: bool) -> Config | ConfigError:
+    """Read the configuration; any exception other than `ConfigError` fails the test."""
     try:
-        return read_config(environment, again)
+        return read_config(environment, is_reload)
     except ConfigError as error:
         return error
 
 
-def check(environment: dict[str, str]) -> None:
-    """Read it as at a start and as on SIGHUP; what can be read is taken by every constructor."""
-    for again in (False, True):
-        found = read(environment, again)
-        if isinstance(found, ConfigError):
-            assert str(found)
-            assert str(found).isprintable()
+def check_configuration(environment: dict[str, str]) -> None:
+    """Read the files as at a start and as on SIGHUP; a `Program` must accept each valid configuration."""
+    for is_reload in (False, True):
+        result = read_or_error(environment, is_reload)
+        if isinstance(result, ConfigError):
+            assert str(result)
+            assert str(result).isprintable()
             continue
         assert (
             min(
-                found.available_descriptors,
-                found.max_sessions,
-                found.max_open_request_bytes,
-                found.max_read_ahead_bytes,
+                result.available_descriptors,
+                result.max_sessions,
+                result.max_open_request_bytes,
+                result.max_read_ahead_bytes,
             )
             > 0
         )
         net: Any = Net()
-        Program(replace(found, shared=""), net, lambda: 1e6, lambda event, **fields: None)
-        assert compare(found, found) == ([], [])
+        Program(replace(result, shared=""), net, lambda: 1e6, lambda event, **fields: None)
+        assert compare(result, result) == ([], [])
 
 
-def originals() -> dict[str, bytes]:
-    return {kind: content(kind, document) for kind, document in DOCUMENTS.items()}
+def valid_files() -> dict[str, bytes]:
+    return {kind: file_content(kind, document) for kind, document in DOCUMENTS.items()}
 
 
-def test_the_documents_of_these_tests_are_themselves_good(tmp_path: Path) -> None:
-    config = read_config(written(tmp_path, originals()))
+def test_unchanged_documents_of_these_tests_are_valid(tmp_path: Path) -> None:
+    config = read_config(write_files(tmp_path, valid_files()))
     assert config.fairness is not None
     assert config.peers is not None
     assert config.zones == ("a", "b")
@@ -184,34 +186,34 @@
 
 @settings(max_examples=600, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(st.lists(st.tuples(MUTATIONS, VALUES), min_size=1, max_size=2))
-def test_any_value_at_any_place_is_taken_or_named(changes: list[tuple[tuple[str, Any], Any]]) -> None:
+def test_any_value_at_any_path_is_accepted_or_reported(changes: list[tuple[tuple[str, Any], Any]]) -> None:
     documents = dict(DOCUMENTS)
     for (kind, path), value in changes:
         try:
-            documents[kind] = changed(documents[kind], path, value)
+            documents[kind] = replace_value(documents[kind], path, value)
         except (KeyError, IndexError, TypeError, AttributeError):
-            continue  # the change before took the place away
-    contents = {kind: content(kind, document) for kind, document in documents.items()}
+            continue  # The previous change removed this path.
+    contents = {kind: file_content(kind, document) for kind, document in documents.items()}
     with tempfile.TemporaryDirectory() as folder:
-        check(written(Path(folder), contents))
+        check_configuration(write_files(Path(folder), contents))
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(
     kind=st.sampled_from(sorted(DOCUMENTS)),
-    place=st.floats(0, 1),
+    position=st.floats(0, 1),
     data=st.one_of(
         st.binary(min_size=1, max_size=4),
         st.sampled_from([b"\xff", b"\xef\xbb\xbf", b"\x00", b"1e999"]),
         st.sampled_from([b"9" * 5000, b"[" * 5000, b'{"a":' * 5000]),
     ),
 )  # fmt: skip
-def test_any_bytes_in_a_file_are_taken_or_named(kind: str, place: float, data: bytes) -> None:
-    contents = originals()
-    at = int(place * len(contents[kind]))
-    contents[kind] = contents[kind][:at] + data + contents[kind][at + 1 :]
+def test_any_bytes_in_a_file_are_accepted_or_reported(kind: str, position: float, data: bytes) -> None:
+    contents = valid_files()
+    offset = int(position * len(contents[kind]))
+    contents[kind] = contents[kind][:offset] + data + contents[kind][offset + 1 :]
     with tempfile.TemporaryDirectory() as folder:
-        check(written(Path(folder), contents))
+        check_configuration(write_files(Path(folder), contents))
 
 
 @settings(max_examples=300, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
@@ -219,49 +221,53 @@
     st.dictionaries(
         st.sampled_from(ENVIRONMENT),
         st.one_of(
-            st.sampled_from([*ODD_TEXTS, "/", "/" + "n" * 300, "-1", "999999", "²", "9" * 5000, "0"]),
+            st.sampled_from([*UNUSUAL_TEXTS, "/", "/" + "n" * 300, "-1", "999999", "²", "9" * 5000, "0"]),
             st.text(max_size=8),
         ),
         min_size=1,
         max_size=2,
     )
 )
-def test_any_variable_of_the_environment_is_taken_or_named(variables: dict[str, str]) -> None:
+def test_any_environment_variable_is_accepted_or_reported(variables: dict[str, str]) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        check({**written(Path(folder), originals()), **variables})
+        check_configuration({**write_files(Path(folder), valid_files()), **variables})
 
 
 @settings(max_examples=300, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(st.sampled_from(paths_of(ENTRY)), VALUES)
-def test_any_value_in_a_list_entry_is_taken_or_named(path: tuple[Any, ...], value: Any) -> None:
-    entry = changed(ENTRY, path, value)
+def test_any_value_in_an_endpoint_list_entry_is_accepted_or_reported(
+    path: tuple[Any, ...], value: Any
+) -> None:
+    entry = replace_value(ENTRY, path, value)
     try:
         endpoint, address = parse_endpoint(entry, ("a",), "instances[0]")
     except ConfigError as error:
-        named = str(error)
+        message = str(error)
     else:
-        named = "instances[0]"
+        message = "instances[0]"
         assert math.isfinite(endpoint.started_at)
         assert Node({"at": address}, "").address("at", "") == address
-    assert named.startswith("instances[0]")
+    assert message.startswith("instances[0]")
 
 
 @settings(max_examples=100, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(MUTATIONS, VALUES)
-def test_sighup_with_any_file_is_one_line_and_keeps_what_was(change: tuple[str, Any], value: Any) -> None:
+def test_sighup_with_any_file_logs_one_line_and_an_invalid_file_changes_nothing(
+    change: tuple[str, Any], value: Any
+) -> None:
     kind, path = change
-    contents = {**originals(), kind: content(kind, changed(DOCUMENTS[kind], path, value))}
+    contents = {**valid_files(), kind: file_content(kind, replace_value(DOCUMENTS[kind], path, value))}
     stage = Stage()
-    before, lines = stage.program.config, len(stage.logged)
+    config_before, line_count = stage.program.config, len(stage.logged)
     with tempfile.TemporaryDirectory() as folder:
-        environment = written(Path(folder), contents)
+        environment = write_files(Path(folder), contents)
         stage.program.reread = lambda: read_config(environment, is_reload=True)
         stage.program.reload()
-    [line] = stage.logged[lines:]
+    [line] = stage.logged[line_count:]
     assert line["event"] in ("configuration", "reloaded")
     if line["event"] == "configuration":
         assert line["kept"]
-        assert stage.program.config == before
+        assert stage.program.config == config_before
     stage.play("""
         client send {call(1)}
         backend expect CALL.GET
@@ -271,7 +277,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "words"),
+    ("path", "value", "message"),
     [
         (("settings", "dcs"), "abc", "settings.dcs: must be a list of strings, not 'abc'"),
         (("settings", "dcs"), ["a", 7], r"settings.dcs\[1\]: must be a string, not 7"),
@@ -287,59 +293,59 @@
         (("limits", "sockets"), 1e300, "limits.sockets: must be at most"),
     ],
 )
-def test_what_was_taken_without_a_word_is_named(
-    tmp_path: Path, path: tuple[Any, ...], value: Any, words: str
+def test_invalid_values_that_were_once_accepted_are_reported(
+    tmp_path: Path, path: tuple[Any, ...], value: Any, message: str
 ) -> None:
-    contents = {**originals(), "config": content("config", changed(CONFIG, path, value))}
-    with pytest.raises(ConfigError, match=words):
-        read_config(written(tmp_path, contents))
+    contents = {**valid_files(), "config": file_content("config", replace_value(CONFIG, path, value))}
+    with pytest.raises(ConfigError, match=message):
+        read_config(write_files(tmp_path, contents))
 
 
 @pytest.mark.parametrize("key", ["classes", "tariffs"])
-def test_a_name_stands_only_once(tmp_path: Path, key: str) -> None:
-    # A request of this name went by the last of them, and the first could never be asked for.
-    twice = changed(CONFIG, ("settings", key), [CONFIG["settings"][key][0]] * 2)
-    environment = written(tmp_path, {**originals(), "config": content("config", twice)})
+def test_duplicate_class_or_plan_name_is_reported(tmp_path: Path, key: str) -> None:
+    # Requests with the duplicate name used the last entry, and no request could use the first.
+    duplicates = replace_value(CONFIG, ("settings", key), [CONFIG["settings"][key][0]] * 2)
+    environment = write_files(tmp_path, {**valid_files(), "config": file_content("config", duplicates)})
     with pytest.raises(
         ConfigError, match=rf"{key}\[1\].name: '.*' is the name of settings.{key}\[0\] already"
     ):
         read_config(environment)
 
 
-def test_a_member_has_a_name_of_printable_letters(tmp_path: Path) -> None:
-    members = changed(PEERS, ("members",), {"n0": "h:1", "n 1": "h:2"})
-    environment = written(tmp_path, {**originals(), "peers": content("peers", members)})
+def test_member_name_with_a_space_is_reported(tmp_path: Path) -> None:
+    members = replace_value(PEERS, ("members",), {"n0": "h:1", "n 1": "h:2"})
+    environment = write_files(tmp_path, {**valid_files(), "peers": file_content("peers", members)})
     with pytest.raises(ConfigError, match="members: a name must be printable"):
         read_config(environment)
 
 
-def test_a_path_of_other_bytes_than_utf8_is_logged(capfd: pytest.CaptureFixture[str]) -> None:
-    # The line that names the file could not be written itself: a traceback took its place.
+def test_path_that_is_not_utf8_is_logged(capfd: pytest.CaptureFixture[str]) -> None:
+    # The log line with the path could not be encoded, and a traceback was written instead.
     program_log.log("configuration", what="EDGE_CONFIG: /tmp/\udcff: No such file or directory")
     line = orjson.loads(capfd.readouterr().err)
     assert line["what"] == "EDGE_CONFIG: /tmp/\\udcff: No such file or directory"
 
 
-FAULTY_FILES = [
-    json.dumps(changed(CONFIG, ("settings", "dcs"), 7)).encode(),
-    json.dumps(changed(CONFIG, ("settings", "classes", 0, "name"), "a\r\nb")).encode(),
+INVALID_FILES = [
+    json.dumps(replace_value(CONFIG, ("settings", "dcs"), 7)).encode(),
+    json.dumps(replace_value(CONFIG, ("settings", "classes", 0, "name"), "a\r\nb")).encode(),
     b"\xff",
     b"[" * 5000,
 ]
 
 
-def test_running_program_keeps_its_configuration_through_faulty_files(
-    start: Callable[..., Limiter], tmp_path: Path
+def test_running_program_keeps_its_configuration_after_invalid_files(
+    start_limiter: Callable[..., LimiterProcess], tmp_path: Path
 ) -> None:
-    limiter = start()
-    limiter.until("ready")
+    limiter = start_limiter()
+    limiter.wait_for_event("ready")
     path = tmp_path / "config.json"
-    with limiter.client() as client:
-        for number, faulty in enumerate(FAULTY_FILES, 1):
-            client.sendall(wire(call(number, wait=60_000)))
-            path.write_bytes(faulty)
+    with limiter.connect() as client:
+        for number, invalid in enumerate(INVALID_FILES, 1):
+            client.sendall(encode_lines(call(number, wait=60_000)))
+            path.write_bytes(invalid)
             limiter.process.send_signal(signal.SIGHUP)
-            line = limiter.until("configuration")
+            line = limiter.wait_for_event("configuration")
             assert line["kept"]
             answer = b""
             while not answer.endswith(b"ok\r\n"):
@@ -349,4 +355,4 @@
     assert limiter.process.stderr is not None
     events = [json.loads(line)["event"] for line in limiter.process.stderr]
     assert "fault" not in events
-    assert limiter.process.wait(PATIENCE) == 0
+    assert limiter.process.wait(TIMEOUT_S) == 0
--- a/tests/test_faulty_configuration.py
+++ b/tests/test_faulty_configuration.py
@@ -1,6 +1,6 @@
-"""Faults of the configuration that a `ConfigError` has to name.
+"""Invalid configurations have to raise `ConfigError`, not another exception.
 
-By it the daemon ends with status 2 at a start, and keeps the old configuration on SIGHUP.
+On `ConfigError` the daemon exits with status 2 at the start, and keeps the old configuration on SIGHUP.
 """
 
 from __future__ import annotations
@@ -16,27 +16,31 @@
 from scalelb.program.config import ConfigError, read_admission_queue, read_config, read_fronts, read_settings
 
 
-def read_dcs_that_is_a_number(folder: Path) -> None:
-    told: dict[str, Any] = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "counter": "127.0.0.1:2"}
+def read_numeric_dcs(folder: Path) -> None:
+    addresses: dict[str, Any] = {
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "counter": "127.0.0.1:2",
+    }
     path = folder / "config.json"
-    path.write_text(json.dumps({**told, "settings": {**SETTINGS, "dcs": 7}}))
+    path.write_text(json.dumps({**addresses, "settings": {**SETTINGS, "dcs": 7}}))
     read_config({"EDGE_CONFIG": str(path)})
 
 
-def read_too_many_requests(folder: Path) -> None:
+def read_too_large_request_limit(folder: Path) -> None:
     options = {"door": {"on": True}, "limit": {"most_requests": 2_000_000}}
     read_admission_queue(options, read_settings(SETTINGS), ("basic",))
 
 
-def read_file_that_is_not_utf8(folder: Path) -> None:
+def read_file_with_invalid_utf8(folder: Path) -> None:
     path = folder / "fronts.toml"
     path.write_bytes(b'name = "\xff"\n')
     read_fronts({"SCALELB_FRONTS": str(path)})
 
 
 @pytest.mark.parametrize(
-    "read", [read_dcs_that_is_a_number, read_too_many_requests, read_file_that_is_not_utf8]
+    "read", [read_numeric_dcs, read_too_large_request_limit, read_file_with_invalid_utf8]
 )
-def test_fault_is_a_configuration_error(tmp_path: Path, read: Callable[[Path], None]) -> None:
+def test_invalid_configuration_raises_config_error(tmp_path: Path, read: Callable[[Path], None]) -> None:
     with pytest.raises(ConfigError):
         read(tmp_path)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is run, among stand-ins on loopback (`processes.py`), and its configuration."""
+"""The daemon as a process, among stand-ins on loopback (`processes.py`), and its configuration."""
 
 from __future__ import annotations
 
@@ -13,54 +13,56 @@
 from typing import Any
 
 import pytest
-from processes import PATIENCE, ROOT, SETTINGS, Backend, Limiter, until, wire
+from processes import ROOT, SETTINGS, TIMEOUT_S, Backend, LimiterProcess, encode_lines, read_until
 from scenario import call
 
 from scalelb.program.config import ConfigError, read_config, read_fronts, read_peers, read_settings
 from scalelb.program.log import RateLimitedLog
 
 
-def test_a_request_is_served_over_real_sockets(start: Callable[..., Limiter]) -> None:
-    limiter = start()
-    limiter.until("ready")
-    with limiter.client() as client:
-        client.sendall(wire("*1\n$4\nPING\n") + wire(call(1, wait=60_000)))
+def test_request_is_served_over_real_sockets(start_limiter: Callable[..., LimiterProcess]) -> None:
+    limiter = start_limiter()
+    limiter.wait_for_event("ready")
+    with limiter.connect() as client:
+        client.sendall(encode_lines("*1\n$4\nPING\n") + encode_lines(call(1, wait=60_000)))
         answer = b""
         while b"ok\r\n" not in answer:
             answer += client.recv(1000)
         assert answer == b"+PONG\r\n$2\r\nok\r\n"
 
 
-def test_sigterm_finishes_what_was_taken_and_ends_with_0(
-    start: Callable[..., Limiter], backend: Backend
+def test_accepted_requests_are_finished_after_sigterm(
+    start_limiter: Callable[..., LimiterProcess], backend: Backend
 ) -> None:
-    limiter = start(http_health="127.0.0.1:0", agent_check="127.0.0.1:0")
-    limiter.until("ready")
-    with limiter.client(limiter.started["fronts"]["agent_check"]) as agent:
+    limiter = start_limiter(http_health="127.0.0.1:0", agent_check="127.0.0.1:0")
+    limiter.wait_for_event("ready")
+    with limiter.connect(limiter.started["fronts"]["agent_check"]) as agent:
         assert agent.recv(100) == b"up 100%\n"
-    backend.may.clear()
-    with limiter.client() as client:
-        client.sendall(wire(call(1, wait=60_000)))
-        assert backend.came.wait(PATIENCE)
+    backend.may_answer.clear()
+    with limiter.connect() as client:
+        client.sendall(encode_lines(call(1, wait=60_000)))
+        assert backend.request_received.wait(TIMEOUT_S)
         limiter.process.send_signal(signal.SIGTERM)
-        limiter.until("stopping")
-        with limiter.client(limiter.started["fronts"]["http_health"]) as health:
+        limiter.wait_for_event("stopping")
+        with limiter.connect(limiter.started["fronts"]["http_health"]) as health:
             health.sendall(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
             answer = health.recv(1000)
             assert answer.startswith(b"HTTP/1.1 503")
             assert b'"draining"' in answer
-        with limiter.client(limiter.started["fronts"]["agent_check"]) as agent:
+        with limiter.connect(limiter.started["fronts"]["agent_check"]) as agent:
             assert agent.recv(100) == b"drain\n"
-        backend.may.set()
+        backend.may_answer.set()
         assert client.recv(100) == b"$2\r\nok\r\n"
-    assert limiter.process.wait(PATIENCE) == 0
+    assert limiter.process.wait(TIMEOUT_S) == 0
 
 
-def test_signals_up_to_the_very_end_leave_the_status_0(start: Callable[..., Limiter]) -> None:
-    # Seen in the soak: the interpreter puts the usual handlers back before it ends, and a further SIGTERM in
-    # that moment ended the process with status -15.
-    limiter = start()
-    limiter.until("ready")
+def test_signals_during_the_exit_do_not_change_the_exit_status(
+    start_limiter: Callable[..., LimiterProcess],
+) -> None:
+    # The interpreter restores the default handlers while it exits; in the soak test, another SIGTERM at that
+    # moment ended the process with status -15.
+    limiter = start_limiter()
+    limiter.wait_for_event("ready")
     while limiter.process.poll() is None:
         for number in (signal.SIGTERM, signal.SIGHUP):
             limiter.process.send_signal(number)
@@ -68,64 +70,66 @@
     assert limiter.process.returncode == 0
 
 
-def test_sighup_reads_the_file_anew_twice_and_sigterm_still_ends_it(
-    start: Callable[..., Limiter], backend: Backend, tmp_path: Path
+def test_sighup_reloads_the_configuration_and_sigterm_still_ends_the_process(
+    start_limiter: Callable[..., LimiterProcess], backend: Backend, tmp_path: Path
 ) -> None:
-    # Guards the restart-free move: SIGHUP ended the program with 129.
-    limiter = start()
-    limiter.until("ready")
+    # SIGHUP used to end the process with 129; it must move discovery to another address without a restart.
+    limiter = start_limiter()
+    limiter.wait_for_event("ready")
     path = tmp_path / "config.json"
-    good = json.loads(path.read_text())
-    moved = good["discovery"].replace("127.0.0.1", "localhost")
-    for change, event, told in (
+    original = json.loads(path.read_text())
+    moved = original["discovery"].replace("127.0.0.1", "localhost")
+    for change, event, expected in (
         ({"discovery": "nowhere"}, "configuration", {"what": "discovery: must be host:port, not 'nowhere'"}),
         ({"listen": "127.0.0.1:1"}, "reloaded", {"moved": [], "at_next_start": ["listen"]}),
         ({"discovery": moved}, "reloaded", {"moved": ["discovery"], "at_next_start": []}),
     ):
-        path.write_text(json.dumps({**good, **change}))
+        path.write_text(json.dumps({**original, **change}))
         limiter.process.send_signal(signal.SIGHUP)
-        assert told.items() <= limiter.until(event).items()
-    limiter.until("list")  # from the director under its other name
-    with limiter.client() as client:
-        client.sendall(wire(call(1, wait=60_000)))
+        assert expected.items() <= limiter.wait_for_event(event).items()
+    limiter.wait_for_event("list")  # from discovery at its new address
+    with limiter.connect() as client:
+        client.sendall(encode_lines(call(1, wait=60_000)))
         assert client.recv(100) == b"$2\r\nok\r\n"
     limiter.process.send_signal(signal.SIGTERM)
-    assert limiter.process.wait(PATIENCE) == 0
+    assert limiter.process.wait(TIMEOUT_S) == 0
 
 
-def test_when_it_is_read_again_the_file_goes_before_the_environment(tmp_path: Path) -> None:
+def test_file_takes_precedence_over_the_environment_on_reload(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}))
     environment = {"EDGE_CONFIG": str(path), "EDGE_DISCOVERY": "127.0.0.1:2", "EDGE_NAME": "n4"}
     assert read_config(environment).director == "127.0.0.1:2"
-    again = read_config(environment, is_reload=True)
-    assert (again.director, again.name) == ("127.0.0.1:1", "n4")
+    reloaded = read_config(environment, is_reload=True)
+    assert (reloaded.director, reloaded.name) == ("127.0.0.1:1", "n4")
 
 
-def test_the_grpc_door_opens_where_the_fronts_file_says(start: Callable[..., Limiter]) -> None:
-    limiter = start(external_authorization="127.0.0.1:0")
-    assert limiter.until("grpc")["listen"] == ["127.0.0.1:0"]
+def test_grpc_front_end_listens_at_the_configured_address(
+    start_limiter: Callable[..., LimiterProcess],
+) -> None:
+    limiter = start_limiter(external_authorization="127.0.0.1:0")
+    assert limiter.wait_for_event("grpc")["listen"] == ["127.0.0.1:0"]
     limiter.process.send_signal(signal.SIGTERM)
-    assert limiter.process.wait(PATIENCE) == 0
+    assert limiter.process.wait(TIMEOUT_S) == 0
 
 
-def without(path: str) -> dict[str, Any]:
-    """The settings without one key, or with another value for it (`path=value`)."""
+def changed_settings(path: str) -> dict[str, Any]:
+    """Return the settings without the key at `path`, or with another value for it (`path=value`)."""
     settings: dict[str, Any] = json.loads(json.dumps(SETTINGS))
     path, _, value = path.partition("=")
-    *way, last = [int(step) if step.isdigit() else step for step in path.split(".")]
-    place: Any = settings
-    for step in way:
-        place = place[step]
+    *parents, key = [int(part) if part.isdigit() else part for part in path.split(".")]
+    node: Any = settings
+    for part in parents:
+        node = node[part]
     if value:
-        place[last] = json.loads(value)
+        node[key] = json.loads(value)
     else:
-        del place[last]
+        del node[key]
     return settings
 
 
 @pytest.mark.parametrize(
-    ("path", "words"),
+    ("path", "message"),
     [
         ("index", "index: missing"),
         ("classes=[]", "classes: must be a list of 1"),
@@ -139,13 +143,13 @@
         ("rules=7", "rules: must be an object"),
     ],
 )  # fmt: skip
-def test_a_faulty_setting_is_named(path: str, words: str) -> None:
-    with pytest.raises(ConfigError, match=f"settings.{words}"):
-        read_settings(without(path), "settings")
+def test_error_names_the_invalid_setting(path: str, message: str) -> None:
+    with pytest.raises(ConfigError, match=f"settings.{message}"):
+        read_settings(changed_settings(path), "settings")
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "message"),
     [
         ({"listen": "nowhere"}, "listen: must be host:port"),
         ({"listen": None}, "listen: must be a string"),
@@ -156,18 +160,20 @@
         ({"settings": {}}, "settings.limits: missing"),
     ],
 )
-def test_a_faulty_configuration_is_named(tmp_path: Path, change: dict[str, Any], words: str) -> None:
-    good = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
+def test_error_names_the_invalid_key_of_the_configuration(
+    tmp_path: Path, change: dict[str, Any], message: str
+) -> None:
+    valid = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(good))
+    path.write_text(json.dumps(valid))
     assert read_config({"EDGE_CONFIG": str(path)}).listen == "127.0.0.1:0"
-    path.write_text(json.dumps(good | change))
-    with pytest.raises(ConfigError, match=words):
+    path.write_text(json.dumps(valid | change))
+    with pytest.raises(ConfigError, match=message):
         read_config({"EDGE_CONFIG": str(path)})
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "message"),
     [
         ("[", "not TOML"),
         ("[agent_check]\nlisten = 5", "agent_check.listen: must be a string"),
@@ -175,18 +181,18 @@
         ("[agentcheck]\nlisten = ''", "agentcheck: unknown front end"),
     ],
 )
-def test_a_faulty_fronts_file_is_named(tmp_path: Path, text: str, words: str) -> None:
+def test_error_names_the_invalid_key_of_the_fronts_file(tmp_path: Path, text: str, message: str) -> None:
     (tmp_path / "fronts.toml").write_text(text)
-    with pytest.raises(ConfigError, match=words):
+    with pytest.raises(ConfigError, match=message):
         read_fronts({"SCALELB_FRONTS": str(tmp_path / "fronts.toml")})
 
 
-def test_the_repositorys_own_fronts_are_closed() -> None:
+def test_front_ends_are_off_by_default() -> None:
     fronts = read_fronts({})
     assert {getattr(fronts, name) for name in fronts.__slots__} == {""}
 
 
-def test_the_log_is_bounded_and_says_what_was_left_out() -> None:
+def test_log_is_rate_limited_and_reports_the_dropped_lines() -> None:
     now, lines = [5.0], []
     log = RateLimitedLog(
         lambda event, level, **fields: lines.append((event, fields)), lambda: now[0], max_lines=2
@@ -202,7 +208,7 @@
     ]
 
 
-def test_the_program_ends_before_it_listens_and_names_the_key(tmp_path: Path) -> None:
+def test_invalid_configuration_ends_the_start_and_is_logged_by_its_key(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps({"listen": "127.0.0.1:0"}))
     run = subprocess.run(
         [sys.executable, "-m", "scalelb.program"], capture_output=True, text=True, cwd=ROOT,
@@ -214,7 +220,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "message"),
     [
         ("on = true\nlisten = '127.0.0.1:0'", "members: missing"),
         ("on = true\nlisten = '127.0.0.1:0'\n[members]\nn0 = '127.0.0.1:1'", "members: must be 2 to"),
@@ -227,48 +233,54 @@
         ("on = 'yes'", "on: must be true or false"),
     ],
 )
-def test_a_faulty_peers_file_is_named(tmp_path: Path, text: str, words: str) -> None:
+def test_error_names_the_invalid_key_of_the_peers_file(tmp_path: Path, text: str, message: str) -> None:
     (tmp_path / "peers.toml").write_text(text)
-    with pytest.raises(ConfigError, match=words):
+    with pytest.raises(ConfigError, match=message):
         read_peers({"SCALELB_PEERS": str(tmp_path / "peers.toml")}, "n0")
 
 
-def test_the_repositorys_own_links_are_off() -> None:
+def test_peer_connections_are_off_by_default() -> None:
     assert read_peers({}, "n0") is None
 
 
-ASKED = 12  # requests, one after the other
-GUESSES = {"too high": (4, b"used=5,cost=1"), "too low": (1, b"cost=4,used=90")}
+REQUESTS = 12  # Sent one after the other.
+# Units that the client states, and the usage that the backend reports.
+ESTIMATES = {"too high": (4, b"used=5,cost=1"), "too low": (1, b"cost=4,used=90")}
 
 
 @pytest.mark.parametrize(
-    ("guess", "settled", "least", "most"),
+    ("estimate", "is_settled", "min_served", "max_served"),
     [
-        ("too high", True, ASKED, ASKED),  # 12 true units of the store's 24
-        ("too high", False, 4, 7),  # 48 units by the guess; some of the store is kept against overdrafts
+        ("too high", True, REQUESTS, REQUESTS),  # 12 true units of a burst of 24
+        ("too high", False, 4, 7),  # 48 units as estimated; part of the burst is reserved against overdrafts
         ("too low", True, 4, 7),  # 48 true units
-        ("too low", False, ASKED, ASKED),
+        ("too low", False, REQUESTS, REQUESTS),
     ],
 )
-def test_a_customer_is_held_to_the_true_units_that_answers_tell(
-    start: Callable[..., Limiter], backend: Backend, guess: str, settled: bool, least: int, most: int
+def test_tenant_is_charged_the_true_units_that_answers_report(
+    start_limiter: Callable[..., LimiterProcess],
+    backend: Backend,
+    estimate: str,
+    is_settled: bool,
+    min_served: int,
+    max_served: int,
 ) -> None:
     settings = json.loads(json.dumps(SETTINGS))
-    settings["extra"]["cost-after"] = settled
+    settings["extra"]["cost-after"] = is_settled
     settings["tariffs"][0] |= {"units-per-s": 0.001, "most-at-once": 24.0}
-    settings["classes"][0]["aim-ms"] = 4000.0  # for so long, at most, a request waits for credit
-    units, backend.usage = GUESSES[guess]
-    limiter = start(settings=settings)
-    limiter.until("ready")
+    settings["classes"][0]["aim-ms"] = 4000.0  # the longest wait of a request for units
+    units, backend.usage = ESTIMATES[estimate]
+    limiter = start_limiter(settings=settings)
+    limiter.wait_for_event("ready")
     served = 0
-    with limiter.client() as client:
-        while served < ASKED:
-            client.sendall(wire(call(served + 1, wait=60_000, units=units)))
-            answer = until(client, b"\r\n")
+    with limiter.connect() as client:
+        while served < REQUESTS:
+            client.sendall(encode_lines(call(served + 1, wait=60_000, units=units)))
+            answer = read_until(client, b"\r\n")
             if answer.startswith(b"-BUSY"):
                 break
             assert answer.startswith(b"$2")
             served += 1
             if not answer.endswith(b"ok\r\n"):
-                until(client, b"ok\r\n")
-    assert least <= served <= most
+                read_until(client, b"ok\r\n")
+    assert min_served <= served <= max_served
