--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -20,11 +20,11 @@
 ) -> Fleet:
     """Run 40 limiters that receive 11 requests per second each."""
     fleet = Fleet(40, backends=backends, plans=(UNLIMITED_PLAN,), max_attempts=4)
-    fleet.took = latency_ms  # type: ignore[assignment]
+    fleet.attempt_duration_ms = latency_ms  # type: ignore[assignment]
 
     def submit_next() -> None:
-        fleet.ask("c", fleet.random.randrange(40), 2.0)
-        fleet.at(1000 * fleet.random.expovariate(requests_per_s), submit_next)
+        fleet.send_request("c", fleet.random.randrange(40), 2.0)
+        fleet.schedule(1000 * fleet.random.expovariate(requests_per_s), submit_next)
 
     submit_next()
     fleet.run(1000 * duration_s)
@@ -36,10 +36,10 @@
     # all attempts went to 20 such endpoints, as each limiter tried each of them again within seconds, and
     # these attempts used up the retry budget.
     unreachable = {f"s{n}" for n in range(20)}
-    counts = run_fleet(60, lambda endpoint: -1.0 if endpoint in unreachable else 200.0).seen
+    counts = run_fleet(60, lambda endpoint: -1.0 if endpoint in unreachable else 200.0).counts
     # At the start, all four attempts of a request may go to unreachable endpoints.
-    assert counts["refused"] < 0.002 * counts["asked"]
-    assert (counts["sends"] - counts["asked"]) / counts["asked"] < 0.075
+    assert counts["rejected"] < 0.002 * counts["requests"]
+    assert (counts["attempts"] - counts["requests"]) / counts["requests"] < 0.075
 
 
 def test_single_timeout_is_remembered_until_the_next_answer_is_likely() -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -24,8 +24,10 @@
     def send_next_request() -> None:
         tenant = fleet.random.randrange(tenants)
         limiter = (tenant + fleet.random.randrange(min(30, limiters))) % limiters
-        fleet.ask(f"c{tenant}", limiter, fleet.random.randint(1, 6), sharing_limiters=min(30, limiters))
-        fleet.at(1000 * fleet.random.expovariate(requests_per_s), send_next_request)
+        fleet.send_request(
+            f"c{tenant}", limiter, fleet.random.randint(1, 6), sharing_limiters=min(30, limiters)
+        )
+        fleet.schedule(1000 * fleet.random.expovariate(requests_per_s), send_next_request)
 
     send_next_request()
     fleet.run(1000 * seconds)
@@ -35,42 +37,42 @@
 def test_tenant_far_beyond_its_quota_gets_its_quota_and_no_more() -> None:
     # Failure with 40 limiters: each treated the bucket as its own, and a fifth of the units sent were beyond
     # quotas.
-    seen = run_fleet(tenants=20, quota_multiple=4.0).seen
-    assert seen["units beyond"] < 0.06 * seen["units inside"]
-    assert seen["units inside"] > 0.9 * 20 * (PLAN.burst + 40 * PLAN.rate_per_s)
+    seen = run_fleet(tenants=20, quota_multiple=4.0).counts
+    assert seen["units over quota"] < 0.06 * seen["units within quota"]
+    assert seen["units within quota"] > 0.9 * 20 * (PLAN.burst + 40 * PLAN.rate_per_s)
 
 
 def test_tenant_within_its_quota_is_not_rejected() -> None:
     # Failure with 40 limiters: 18 to 48% of all attempts were rejected while half of the quota or more was
     # unused. Half of a burst was never leased, and the units that 30 limiters had leased in small parts could
     # not be used by any of them.
-    seen = run_fleet(tenants=40, quota_multiple=0.4).seen
-    assert seen["refused with room"] == 0
-    assert seen["refused"] < 0.02 * seen["asked"]
-    assert seen["units beyond"] < 0.02 * seen["units inside"]
+    seen = run_fleet(tenants=40, quota_multiple=0.4).counts
+    assert seen["rejected within quota"] == 0
+    assert seen["rejected"] < 0.02 * seen["requests"]
+    assert seen["units over quota"] < 0.02 * seen["units within quota"]
 
 
 def test_overflow_is_not_available_to_a_later_burst() -> None:
     # The total of a window alone would grant all units that an idle tenant has left unused since it began.
     fleet = run_fleet(tenants=1, quota_multiple=0.1, seconds=15.0)
-    before = fleet.seen["units inside"] + fleet.seen["units beyond"]
+    before = fleet.counts["units within quota"] + fleet.counts["units over quota"]
     for number in range(120):
-        fleet.ask("c0", number % 30, 3.0)
+        fleet.send_request("c0", number % 30, 3.0)
         fleet.run(10.0)
     fleet.run(2000.0)
-    assert fleet.seen["units inside"] + fleet.seen["units beyond"] - before <= 2.2 * PLAN.burst
+    assert fleet.counts["units within quota"] + fleet.counts["units over quota"] - before <= 2.2 * PLAN.burst
 
 
 def test_counter_calls_stay_below_two_for_each_request() -> None:
     # An overflow is removed once. Removing it with each answer that shows it would overload the counter.
     for quota_multiple in (0.3, 1.0, 4.0):
-        seen = run_fleet(tenants=20, quota_multiple=quota_multiple).seen
-        assert seen["calls"] < 1.7 * seen["asked"], quota_multiple
+        seen = run_fleet(tenants=20, quota_multiple=quota_multiple).counts
+        assert seen["counter calls"] < 1.7 * seen["requests"], quota_multiple
 
 
 def make_counter_unavailable(fleet: Fleet) -> None:
     """Make the counter unavailable and put every limiter at its maximum backoff, as after several seconds."""
-    fleet.silent = True
+    fleet.is_counter_unreachable = True
     for limiter in fleet.limiters:
         while not limiter.contention.is_backoff_at_max:
             limiter.contention.on_failure(fleet.now)
@@ -85,22 +87,22 @@
     sent_and_requested = {1: [0, 0], 4: [0, 0], 6: [0, 0]}
     make_counter_unavailable(fleet)
     for number in range(240):
-        units, before = (1, 4, 6)[number % 3], fleet.seen["sends"]
-        fleet.ask(f"c{number % 80}", fleet.random.randrange(60), units, sharing_limiters=60)
+        units, before = (1, 4, 6)[number % 3], fleet.counts["attempts"]
+        fleet.send_request(f"c{number % 80}", fleet.random.randrange(60), units, sharing_limiters=60)
         fleet.run(33.0)
-        sent_and_requested[units][0] += fleet.seen["sends"] - before
+        sent_and_requested[units][0] += fleet.counts["attempts"] - before
         sent_and_requested[units][1] += 1
     assert all(sent > 0.6 * requested for sent, requested in sent_and_requested.values()), sent_and_requested
-    assert fleet.seen["units beyond"] < 0.1 * fleet.seen["units inside"]
+    assert fleet.counts["units over quota"] < 0.1 * fleet.counts["units within quota"]
 
 
 def test_request_beyond_the_share_is_rejected_at_once_while_the_counter_is_unavailable() -> None:
     fleet = Fleet(60, plans=(PLAN,))
     make_counter_unavailable(fleet)
     for _ in range(3):  # the first uses all units that this limiter may grant
-        fleet.ask("c0", 0, 4.0, sharing_limiters=60)
+        fleet.send_request("c0", 0, 4.0, sharing_limiters=60)
         fleet.run(50.0)
-    assert (fleet.seen["sends"], fleet.seen["refused"]) == (1, 2)
+    assert (fleet.counts["attempts"], fleet.counts["rejected"]) == (1, 2)
 
 
 def test_retries_under_counter_contention_are_not_all_admitted() -> None:
@@ -114,9 +116,9 @@
     for _ in range(6000):
         tenant = fleet.random.randrange(60)
         limiter_index = (tenant + fleet.random.randrange(30)) % 40
-        fleet.ask(f"c{tenant}", limiter_index, fleet.random.randint(1, 6))
+        fleet.send_request(f"c{tenant}", limiter_index, fleet.random.randint(1, 6))
         fleet.run(2.5)
-    assert fleet.seen["units beyond"] < 2.5 * fleet.seen["units inside"]  # 3.5 before the fix
+    assert fleet.counts["units over quota"] < 2.5 * fleet.counts["units within quota"]  # 3.5 before the fix
 
 
 def test_only_buckets_of_many_limiters_are_stored_on_the_counter() -> None:
@@ -148,17 +150,17 @@
     while fleet.now - shared_counter.window_at("c0", fleet.now)[1] < shared_counter.WINDOW_MS / 2:
         fleet.run(1000.0)
     for limiter_index in range(4):
-        fleet.ask("c0", limiter_index, 1.0)
+        fleet.send_request("c0", limiter_index, 1.0)
     fleet.run(1000.0)
-    fleet.ask("c0", 9, 6.0)
+    fleet.send_request("c0", 9, 6.0)
     fleet.run(100.0)
-    assert fleet.seen["refused"] == 0
-    assert fleet.seen["units inside"] == 10
+    assert fleet.counts["rejected"] == 0
+    assert fleet.counts["units within quota"] == 10
     window, started_at = shared_counter.window_at("c0", fleet.now)
     balance = shared_counter.remaining_units(
-        PLAN, started_at, fleet.now, fleet.counted[shared_counter.counter_key("c0", window)]
+        PLAN, started_at, fleet.now, fleet.counter_totals[shared_counter.counter_key("c0", window)]
     )
-    assert abs(balance - fleet.store("c0", PLAN)) < PLAN.burst / 2
+    assert abs(balance - fleet.exact_balance("c0", PLAN)) < PLAN.burst / 2
 
 
 def test_evicted_tenant_returns_to_the_same_bucket() -> None:
@@ -168,13 +170,13 @@
     while fleet.now - shared_counter.window_at("c0", fleet.now)[1] > 1000.0:
         fleet.run(500.0)
     for limiter_index in range(4):
-        fleet.ask("c0", limiter_index, 3.0)
+        fleet.send_request("c0", limiter_index, 3.0)
         fleet.run(100.0)
     fleet.run(500.0)
     limiter = fleet.limiters[3]
     limiter.housekeeper.evict(limiter.tenants.tenants["c0"], fleet.now)
     assert "c0" not in limiter.tenants.tenants
     assert limiter.tenants.knows("c0")
-    fleet.ask("c0", 3, 1.0)
+    fleet.send_request("c0", 3, 1.0)
     fleet.run(200.0)
-    assert max(abs(total) for total in fleet.counted.values()) < 2 * PLAN.burst
+    assert max(abs(total) for total in fleet.counter_totals.values()) < 2 * PLAN.burst
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -134,7 +134,7 @@
         self.service_time_factor, self.idle_at = 1.0, defaultdict[str, float](float)
         self.served_at: list[float] = []
 
-    def carry_out(self, limiter: Any, action: Action) -> None:
+    def execute(self, limiter: Any, action: Action) -> None:
         if isinstance(action, SendAttempt):
             starts_at = max(self.now, self.idle_at[action.endpoint])
             self.idle_at[action.endpoint] = starts_at + 100.0 * self.service_time_factor
@@ -153,15 +153,15 @@
                 ends_after_ms,
                 not is_late,
             )
-            self.later(limiter, ends_after_ms, AttemptEnded(*event_fields))
+            self.handle_later(limiter, ends_after_ms, AttemptEnded(*event_fields))
         elif isinstance(action, RejectRequest | FailRequest):
             if self.random.random() < 0.7:
-                self.at(200.0, self.send_random_request)
+                self.schedule(200.0, self.send_random_request)
         else:
-            super().carry_out(limiter, action)
+            super().execute(limiter, action)
 
     def send_random_request(self) -> None:
-        self.ask(f"c{self.random.randrange(1000)}", self.random.randrange(len(self.limiters)), 2.0)
+        self.send_request(f"c{self.random.randrange(1000)}", self.random.randrange(len(self.limiters)), 2.0)
 
 
 def served_ratio_after_overload() -> float:
