--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -176,7 +176,7 @@
     """A call of the operator API, in memory."""
 
     def __init__(self, stage: Harness, operator_api: AdminDoor, data: bytes = b"") -> None:
-        self.wire: Any = stage.net.join("admin", operator_api)
+        self.wire: Any = stage.net.connect("admin", operator_api)
         if data:
             self.wire.protocol.dataReceived(data)
 
