--- a/scalelb/lab/faults.py
+++ b/scalelb/lab/faults.py
@@ -28,7 +28,7 @@
 from scalelb.lab.stage import toml_words
 from scalelb.lab.traffic import Clients
 from scalelb.protocol import MalformedError, resp
-from scalelb.transport.stream import Dial, Stream
+from scalelb.transport.stream import Stream, StreamFactory
 
 PATIENCE_S = 90.0  # for a step's event, and for quiet at the end: generous, nothing is judged by it
 SETTLE_S = 9.0  # after the load's end until every request is over: its longest deadline, and some
@@ -272,7 +272,7 @@
         port = self.ports.get(limiter)
         if port is not None:
             asker = Asker(self, ident, limiter, wire, event)
-            self.reactor.connectTCP("127.0.0.1", port, Dial(asker, lambda: None), timeout=2)
+            self.reactor.connectTCP("127.0.0.1", port, StreamFactory(asker, lambda: None), timeout=2)
         self.reactor.callLater(self.random.expovariate(self.schedule.per_s), self.load)
 
     # Steps
--- a/scalelb/lab/load.py
+++ b/scalelb/lab/load.py
@@ -20,7 +20,7 @@
 from scalelb.lab.rows import Row, write_rows
 from scalelb.lab.traffic import Arrival, Clients
 from scalelb.protocol import MalformedError, resp
-from scalelb.transport.stream import Dial, Stream, host_port
+from scalelb.transport.stream import Stream, StreamFactory, host_port
 
 CONNECTIONS_MOST = 400  # to one limiter
 GRACE_MS = 200.0  # after a client has given up, in which no answer is a lost one
@@ -90,13 +90,15 @@
         """Send a try on an idle connection, or open one."""
         while self.idle:
             found = self.idle.pop()
-            if not found.gone:
+            if not found.is_closed:
                 found.ask(row, ident, wire)
                 return
         self.opening.append((row, ident, wire))
         if self.count < CONNECTIONS_MOST:
             self.count += 1
-            self.load.reactor.connectTCP(self.host, self.port, Dial(Wire(self), self.refused), timeout=2)
+            self.load.reactor.connectTCP(
+                self.host, self.port, StreamFactory(Wire(self), self.refused), timeout=2
+            )
 
     def ready(self, wire: Wire) -> None:
         """A connection is up or free."""
--- a/scalelb/lab/relay.py
+++ b/scalelb/lab/relay.py
@@ -15,7 +15,7 @@
 from twisted.internet.protocol import ServerFactory
 
 from scalelb.protocol import resp
-from scalelb.transport.stream import Dial, Stream
+from scalelb.transport.stream import Stream, StreamFactory
 
 
 class Way(Enum):
@@ -75,7 +75,7 @@
 
     def deliver(self, message: bytes) -> None:
         """To the other side."""
-        if self.other is None or self.other.gone or self.gone:
+        if self.other is None or self.other.is_closed or self.is_closed:
             return
         if self.other.transport is None:
             self.early.append(message)
@@ -122,7 +122,7 @@
         near.other, far.other = far, near
         self.sides |= {near, far}
         if all(way is not Way.CUT for way in self.ways.values()):
-            self.reactor.connectTCP(*self.target, Dial(far, near.abort), timeout=2)
+            self.reactor.connectTCP(*self.target, StreamFactory(far, near.abort), timeout=2)
         return near
 
     def set(self, forth: bool, way: Way, delay_ms: tuple[float, float] = (0.0, 0.0)) -> None:
--- a/scalelb/lab/soak.py
+++ b/scalelb/lab/soak.py
@@ -30,7 +30,7 @@
 from scalelb.lab.soak_plan import DECKS, LAST, Ending, SoakPlan, Trouble, draw_plan
 from scalelb.lab.stage import toml_words
 from scalelb.lab.traffic import Clients
-from scalelb.transport.stream import Dial, Stream
+from scalelb.transport.stream import Stream, StreamFactory
 
 PLAN = "basic"
 PLAN_LIMITS = {"rate": 40.0, "burst": 80.0, "at_once": 0, "price": 1.0}
@@ -372,7 +372,7 @@
         if port is None:
             return
         wire = self.new_request(name)[1] if self.random.random() < CROWD_ASKS_RATIO else b""
-        self.reactor.connectTCP("127.0.0.1", port, Dial(Passer(wire), lambda: None), timeout=2)
+        self.reactor.connectTCP("127.0.0.1", port, StreamFactory(Passer(wire), lambda: None), timeout=2)
 
     def end_life(self, process: Process, ending: Ending, is_starting: bool = False) -> None:
         """The signals of an ending, and the kill after the first SIGTERM."""
--- a/scalelb/lab/soak_clients.py
+++ b/scalelb/lab/soak_clients.py
@@ -9,7 +9,7 @@
 
 from scalelb.lab.soak_plan import ClientKind
 from scalelb.protocol import MalformedError, resp
-from scalelb.transport.stream import Dial, Stream
+from scalelb.transport.stream import Stream, StreamFactory
 
 PIPELINED_REQUESTS = 4
 THINK_S = (0.02, 0.2)  # between an answer and the next request
@@ -107,7 +107,7 @@
             self._later(RECONNECT_S, self.connect)
             return
         connection = SoakConnection(self, self.stage.life_of(self.limiter))
-        dial = Dial(connection, lambda: self._later(RECONNECT_S, self.connect))
+        dial = StreamFactory(connection, lambda: self._later(RECONNECT_S, self.connect))
         self.reactor.connectTCP("127.0.0.1", port, dial, timeout=CONNECT_TIMEOUT_S)
 
     def stop(self) -> None:
@@ -123,7 +123,7 @@
             self._ask(connection)
 
     def _ask(self, connection: SoakConnection) -> None:
-        if connection.gone or self.is_stopped or connection is not self.connection:
+        if connection.is_closed or self.is_stopped or connection is not self.connection:
             return
         ident, command = self.resend.popleft() if self.resend else self.stage.new_request(self.limiter)
         self.commands[ident] = command
@@ -137,7 +137,7 @@
             self._later(self.random.uniform(*STAY_S), lambda: self._leave(connection))
 
     def _send_piece(self, connection: SoakConnection, ident: str, rest: bytes) -> None:
-        if connection.gone:
+        if connection.is_closed:
             return
         size = self.random.randint(1, max(1, len(rest) // 2))
         connection.send(rest[:size])
@@ -151,7 +151,7 @@
         self.stage.note("ask", ident=ident, limiter=self.limiter, life=connection.life)
 
     def _leave(self, connection: SoakConnection) -> None:
-        if connection.gone or not connection.waiting:
+        if connection.is_closed or not connection.waiting:
             return
         self.has_left = True
         for ident in connection.waiting:
--- a/scalelb/lab/standins.py
+++ b/scalelb/lab/standins.py
@@ -162,7 +162,7 @@
     def _twice(self, earlier: Job) -> None:
         """The rule: never two attempts out.  One whose connection was given up is not out; the end of a
         connection may be read a moment after what was sent on another."""
-        self.tally["twice"] += not (earlier.session.gone or earlier.reply)
+        self.tally["twice"] += not (earlier.session.is_closed or earlier.reply)
 
     def _begin(self, job: Job) -> None:
         self.running += 1
@@ -178,7 +178,7 @@
         job.session.flush()
         while self.waiting and self.running < self.spec.cores:
             waiting = self.waiting.popleft()
-            if waiting.session.gone:  # given up: waiting work is dropped
+            if waiting.session.is_closed:  # given up: waiting work is dropped
                 self._leave(waiting)
             else:
                 self._begin(waiting)
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -22,10 +22,10 @@
 from scalelb.program.loop import Loop, unix_clock
 from scalelb.program.predecessor import Incarnation
 from scalelb.protocol.agentcheck import Status
-from scalelb.transport.admin import AdminDoor
+from scalelb.transport.admin import AdminListener
 from scalelb.transport.director import DirectorWatch
-from scalelb.transport.pace import Pace
-from scalelb.transport.session import Door
+from scalelb.transport.pace import PollBackoff
+from scalelb.transport.session import RespListener
 from scalelb.transport.status import StatusFactory
 from scalelb.transport.stream import Log, host_port
 
@@ -60,17 +60,17 @@
         self.asyncio_loop: Any = getattr(reactor, "_asyncioEventloop", None)
         self.grpc: GrpcFront | None = None
         self.ports: dict[str, Any] = {}
-        self.door = Door(
+        self.door = RespListener(
             self.loop.core,
             list(config.kinds),
             list(config.plans),
             self.ready,
             log,
-            sessions_most=config.sessions_most,
-            held_most=config.held_most,
-            ahead_most=config.ahead_most,
-            clients_most=config.sockets // 3,
-            keyed=bool(fronts.external_authorization),
+            max_sessions=config.sessions_most,
+            max_open_request_bytes=config.held_most,
+            max_read_ahead_bytes=config.ahead_most,
+            expected_connections=config.sockets // 3,
+            has_other_listener=bool(fronts.external_authorization),
             metrics=self.loop.metrics,
         )
         self.incarnation: Incarnation | None = None  # none: no folder is shared with others
@@ -85,14 +85,14 @@
 
             self.links = PeerConnections(reactor, self.loop, config.name, config.peers, self.log)
         self.waiting = 0.0  # since when the predecessor is waited for (s of the reactor)
-        self.admin: AdminDoor | None = None
+        self.admin: AdminListener | None = None
         if fronts.external_authorization or fronts.grpc_health:
             from scalelb.transport.authz.front import Authorization, GrpcFront
 
             check = Authorization(self.loop.core, config.kinds, config.plans, self.ready, log)
             self.grpc = GrpcFront(check, fronts.external_authorization, fronts.grpc_health, log)
         asked = config.settings.discovery_silence_ms if config.settings.subscribes_to_endpoints else 0.0
-        pace = Pace(config.settings.limiter_count, Random(f"director {config.seed}"), asked)
+        pace = PollBackoff(config.settings.limiter_count, Random(f"director {config.seed}"), asked)
         self.director = DirectorWatch(reactor, config.director, config.generation, self.told, log, pace)
         self.heard = False  # the director's word
         self.cpu = 0.0
@@ -113,13 +113,15 @@
             self.listen_for_peers()
         if self.config.admin:
             host, port = host_port(self.config.admin)
-            self.admin = AdminDoor(self.reactor, self, self.log)
+            self.admin = AdminListener(self.reactor, self, self.log)
             self.ports["admin"] = self.reactor.listenTCP(port, self.admin, BACKLOG, host)
         fronts = self.config.fronts
         for name, address in (("agent_check", fronts.agent_check), ("http_health", fronts.http_health)):
             if address:
                 host, port = host_port(address)
-                factory = StatusFactory(self.reactor, self.tell_status, self.log, agent=name == "agent_check")
+                factory = StatusFactory(
+                    self.reactor, self.tell_status, self.log, is_agent_check=name == "agent_check"
+                )
                 self.ports[name] = self.reactor.listenTCP(port, factory, BACKLOG, host)
         told = {name: port.getHost().port for name, port in self.ports.items()}
         door = self.door.port
@@ -154,7 +156,7 @@
         While it serves, the units on hand are its own: both would spend them."""
         incarnation = self.incarnation
         assert incarnation is not None
-        if self.door.closing:
+        if self.door.is_closing:
             return
         # Asked before its account is looked for, as it may leave one and end in between.
         predecessor_runs = incarnation.predecessor_is_running()
@@ -189,7 +191,7 @@
 
     def bound(self, part: float) -> None:
         """Bound sessions and connections to a part of what is configured."""
-        self.door.sessions_most = max(1, int(part * self.config.sessions_most))
+        self.door.max_sessions = max(1, int(part * self.config.sessions_most))
         most = max(1, int(part * self.config.connections_most))
         self.loop.pool.limits = replace(self.loop.pool.limits, connections=most)
 
@@ -307,7 +309,7 @@
         """Change the status, at every listener."""
         self.status = status
         if self.grpc is not None:
-            self.task(self.grpc.tell(status))
+            self.task(self.grpc.set_status(status))
 
     def task(self, work: Coroutine[Any, Any, None]) -> Any:
         """Start something on the event loop; a fault of it is logged."""
@@ -332,7 +334,7 @@
             if self.incarnation is not None:
                 self.merge_overrides()
         finally:
-            self.reactor.callLater(SWEEP_FULL_S if self.door.full else SWEEP_S, self.sweep)
+            self.reactor.callLater(SWEEP_FULL_S if self.door.is_full else SWEEP_S, self.sweep)
 
     def tell(self) -> None:
         """Log what was done lately, again and again."""
@@ -357,7 +359,11 @@
             counts=dict(sorted(tally.items())),
             **(core.queue_adapter.queue.log_fields() if core.queue_adapter is not None else {}),
             **(self.links.told() if self.links is not None else {}),
-            **({"admin": {str(s): n for s, n in self.admin.calls.items()}} if self.admin is not None else {}),
+            **(
+                {"admin": {str(s): n for s, n in self.admin.answer_counts.items()}}
+                if self.admin is not None
+                else {}
+            ),
         )
         self.cpu = cpu
 
@@ -401,14 +407,14 @@
 
     def finish(self) -> None:
         """Take nothing new; end once all is answered."""
-        self.door.shut(shared=self.config.inherited is not None)
+        self.door.close(is_shared=self.config.inherited is not None)
         if self.grpc is not None:
             self.task(self.grpc.stop(self.kill_after_s() - LINGER_S))
         self.wait()
 
     def wait(self) -> None:
         """Until the last session has its answers, and the decisions have heard of every end."""
-        self.door.shut_on()
+        self.door.close_idle_sessions()
         core = self.loop.core
         hears_ends = bool(core.inbox and core.limiter.attempts)
         if self.door.sessions or self.tasks or hears_ends:
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -19,8 +19,8 @@
 from scalelb.program.config import Config, ConfigError, read_entry
 from scalelb.transport.counter import CounterClient
 from scalelb.transport.fetch import AttemptResult, BackendConnection, Fetch, Piece, Pool, PoolLimits
-from scalelb.transport.session import Held
-from scalelb.transport.stream import Delay, Log, Reactor
+from scalelb.transport.session import RequestPayload
+from scalelb.transport.stream import DelayedCall, Log, Reactor
 
 
 def unix_clock() -> Callable[[], float]:
@@ -51,7 +51,7 @@
             self.counter = CounterClient(
                 reactor, clock, config.counter, timeout, self.core.counter_replied, log
             )
-        self.alarm: Delay | None = None
+        self.alarm: DelayedCall | None = None
         self.alarm_at = 0.0
         self.addresses: dict[str, str] = {}
         self.overrides = EndpointOverrides()
@@ -66,19 +66,19 @@
 
     def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
         """Start an attempt on a pooled connection."""
-        held: Held = request.payload
+        held: RequestPayload = request.payload
         attempt_number = request.attempt_number
         session: Any = request.caller
 
         def begun(connection: BackendConnection) -> Piece:
             self.core.first_byte_forwarded(request)
-            session.begin(held.answer, connection)
-            return lambda data: session.piece(held.answer, data)
+            session.begin_value(held.answer, connection)
+            return lambda data: session.send_piece(held.answer, data)
 
         def ended(result: AttemptResult) -> None:
             if request.in_flight and request.attempt_number == attempt_number:
                 if request.first_byte_at and result.outcome is not Outcome.OK and not request.is_finished:
-                    session.broken(held.answer, request)
+                    session.fail_value(held.answer, request)
                 usage = result.usage
                 self.core.attempt_ended(
                     request, result.outcome, result.value, result.report, usage.true_units, usage.used_percent
@@ -88,7 +88,8 @@
         class_index = self.kinds[held.call.kind]
 
         def write() -> bytes | None:
-            if not session.there():  # nobody reads a session that is paused: this is how its end is seen
+            # nobody reads a session that is paused: this is how its end is seen
+            if not session.is_client_connected():
                 session.abort()
                 self.core.cancel(request)
             if request.attempt_number != attempt_number or not self.core.may_begin(request):
--- a/scalelb/transport/__init__.py
+++ b/scalelb/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets on Twisted: client sessions, fetches, the director, the counter and the other fronts."""
+"""Network connections on Twisted: client sessions, upstream attempts, discovery, the counter and the APIs."""
--- a/scalelb/transport/admin.py
+++ b/scalelb/transport/admin.py
@@ -1,7 +1,7 @@
-"""The operators' door: HTTP/1.1, one call a connection.
+"""The operator API: HTTP/1.1, with one request per connection.
 
-Bounded for the limiter's sake: so many callers, so many bytes of a call, so long for it.  Where all places
-are taken, the caller that has been silent for longest makes room, so that one who asks is always heard.
+To protect the limiter, the number of connections, the size of a request and the time for it are bounded. A
+new connection above the limit closes the oldest one, so that idle connections can't lock operators out.
 """
 
 from __future__ import annotations
@@ -15,124 +15,126 @@
 from scalelb.protocol import MalformedError, http
 from scalelb.transport.stream import Log, Reactor, Stream
 
-CALLERS_MOST = 16  # at once
-CALL_S = 5.0  # for a call, from connecting
-HEAD_MOST = 8 * 1024  # bytes of a call
-NAME_MOST = 256  # characters of a backend's id
+MAX_CLIENTS = 16
+REQUEST_TIMEOUT_S = 5.0  # from connecting
+MAX_REQUEST_BYTES = 8 * 1024
+MAX_ENDPOINT_NAME_LENGTH = 256  # characters
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 503: "Service Unavailable",
 }  # fmt: skip
 PREFIX = "/deck-servers/"
 
 
-class Desk(Protocol):
-    """What the door asks of the program."""
+class LimiterControl(Protocol):
+    """The operations of a limiter that the operator API offers."""
 
     def ready(self) -> bool:
-        """Whether this process can serve."""
+        """Return whether this process accepts requests."""
 
     def stats(self) -> dict[str, Any]:
-        """The figures, as they are now."""
+        """Return the current statistics."""
 
     def override_endpoint(self, endpoint: str, is_ejected: bool) -> int:
-        """Eject an endpoint by hand, or undo that: an HTTP status."""
+        """Eject an endpoint by manual override, or remove the override; return an HTTP status."""
 
 
 class AdminConnection(Stream):
-    """One caller."""
+    """A connection of an operator."""
 
-    def __init__(self, door: AdminDoor) -> None:
-        self.door = door
-        self.reader = http.RequestReader(self.asked)
-        self.bytes, self.answered = 0, False
+    def __init__(self, listener: AdminListener) -> None:
+        self.listener = listener
+        self.reader = http.RequestReader(self.on_request)
+        self.received_bytes, self.is_answered = 0, False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """The connection is up."""
+        """Register the connection and start its timeout."""
         super().connectionMade()
-        self.door.joined(self)
-        self.timer = self.door.reactor.callLater(CALL_S, self.late)
+        self.listener.on_connect(self)
+        self.timer = self.listener.reactor.callLater(REQUEST_TIMEOUT_S, self.on_timeout)
 
-    def late(self) -> None:
-        """No call has come in time."""
-        self.door.calls[0] = self.door.calls.get(0, 0) + (not self.answered)
+    def on_timeout(self) -> None:
+        """Close the connection at its timeout; count it unless a request was answered."""
+        self.listener.answer_counts[0] = self.listener.answer_counts.get(0, 0) + (not self.is_answered)
         self.abort()
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Bytes from the caller; what comes behind its one call is skipped."""
-        if self.answered:
+        """Process bytes from the operator; those after the first request are discarded."""
+        if self.is_answered:
             return
-        self.bytes += len(data)
+        self.received_bytes += len(data)
         try:
-            if self.bytes > HEAD_MOST:
+            if self.received_bytes > MAX_REQUEST_BYTES:
                 raise MalformedError("the call is too long")
             self.reader.feed(data)
         except MalformedError as error:
-            if not self.answered:
-                self.door.log("malformed", level="warning", what=str(error), door="admin")
+            if not self.is_answered:
+                self.listener.log("malformed", level="warning", what=str(error), door="admin")
                 self.answer(400, {"error": str(error)})
 
-    def asked(self, method: str, path: str, keep: bool) -> None:
-        """One call, whole."""
-        if not self.answered:
+    def on_request(self, method: str, path: str, keep: bool) -> None:
+        """Answer a complete request."""
+        if not self.is_answered:
             try:
-                status, body = call(self.door.desk, method, path)
-            except Exception as error:  # guards the caller: a no, where the figures have a fault
-                self.door.log("fault", level="error", what=f"{type(error).__name__}: {error}")
+                status, body = handle_request(self.listener.control, method, path)
+            except Exception as error:  # the operator gets an answer even if computing it fails
+                self.listener.log("fault", level="error", what=f"{type(error).__name__}: {error}")
                 status, body = 503, {"error": "fault"}
             self.answer(status, body)
 
     def answer(self, status: int, body: dict[str, Any]) -> None:
-        """The answer, and the end."""
-        self.answered = True
-        self.door.calls[status] = self.door.calls.get(status, 0) + 1
+        """Send the answer and half-close the connection."""
+        self.is_answered = True
+        self.listener.answer_counts[status] = self.listener.answer_counts.get(status, 0) + 1
         self.send(http.response(status, REASONS[status], orjson.dumps(body), close=True))
-        self.close_writing()
+        self.half_close()
 
     def lost(self) -> None:
-        """The caller has left."""
-        self.door.callers.pop(self, None)
+        """Remove the connection."""
+        self.listener.clients.pop(self, None)
         if self.timer.active():
             self.timer.cancel()
 
 
-def call(desk: Desk, method: str, path: str) -> tuple[int, dict[str, Any]]:
-    """What a call is answered."""
-    server, _, verb = path.removeprefix(PREFIX).rpartition("/")
-    named = path.startswith(PREFIX) and verb in ("maint", "ready")
-    if path not in ("/healthcheck", "/stats") and not named:
+def handle_request(control: LimiterControl, method: str, path: str) -> tuple[int, dict[str, Any]]:
+    """Carry out a request; return the HTTP status and the body of its answer."""
+    endpoint, _, verb = path.removeprefix(PREFIX).rpartition("/")
+    is_override = path.startswith(PREFIX) and verb in ("maint", "ready")
+    if path not in ("/healthcheck", "/stats") and not is_override:
         return 404, {"error": "no such call"}
-    if method != ("POST" if named else "GET"):
+    if method != ("POST" if is_override else "GET"):
         return 405, {"error": "not by this method"}
     if path == "/healthcheck":
-        ready = desk.ready()
-        return (200 if ready else 503), {"ready": ready}
+        is_ready = control.ready()
+        return (200 if is_ready else 503), {"ready": is_ready}
     if path == "/stats":
-        return 200, desk.stats()
-    if not 0 < len(server) <= NAME_MOST or "/" in server:
+        return 200, control.stats()
+    if not 0 < len(endpoint) <= MAX_ENDPOINT_NAME_LENGTH or "/" in endpoint:
         return 404, {"error": "no such deck server"}
-    status = desk.override_endpoint(server, verb == "maint")
-    return status, {"server": server, "out": verb == "maint", "done": status == 200}
+    status = control.override_endpoint(endpoint, verb == "maint")
+    return status, {"server": endpoint, "out": verb == "maint", "done": status == 200}
 
 
-class AdminDoor(ServerFactory):
-    """The operators' listener."""
+class AdminListener(ServerFactory):
+    """The listener of the operator API."""
 
     noisy = False
 
-    def __init__(self, reactor: Reactor, desk: Desk, log: Log) -> None:
-        self.reactor, self.desk, self.log = reactor, desk, log
-        self.callers: dict[AdminConnection, None] = {}  # the first has been here for longest
-        self.calls: dict[int, int] = {}  # by status, since the start; 0: closed without a call
-
-    def joined(self, caller: AdminConnection) -> None:
-        """Guards the descriptors, and those who ask against those who say nothing."""
-        self.callers[caller] = None
-        if len(self.callers) > CALLERS_MOST:
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]
-            self.calls[0] = self.calls.get(0, 0) + (not oldest.answered)
+    def __init__(self, reactor: Reactor, control: LimiterControl, log: Log) -> None:
+        self.reactor, self.control, self.log = reactor, control, log
+        self.clients: dict[AdminConnection, None] = {}  # oldest first
+        self.answer_counts: dict[
+            int, int
+        ] = {}  # by HTTP status, since the start; 0: closed without a request
+
+    def on_connect(self, client: AdminConnection) -> None:
+        """Add a connection; above the limit, close the oldest, which bounds the number of descriptors."""
+        self.clients[client] = None
+        if len(self.clients) > MAX_CLIENTS:
+            oldest = next(iter(self.clients))
+            del self.clients[oldest]
+            self.answer_counts[0] = self.answer_counts.get(0, 0) + (not oldest.is_answered)
             oldest.abort()
 
     def buildProtocol(self, addr: IAddress | None) -> AdminConnection:  # noqa: N802
-        """A caller connects."""
+        """Return the protocol of a new connection."""
         return AdminConnection(self)
--- a/scalelb/transport/authz/front.py
+++ b/scalelb/transport/authz/front.py
@@ -1,4 +1,4 @@
-"""The second front: one question, may this go through, answered by the same core as the platform's door."""
+"""External authorization: a front end that asks the same core as the RESP listener to admit requests."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from scalelb.transport.stream import Log
 
 SERVICE = "envoy.service.auth.v3.Authorization"
-LISTENER = 1  # the platform's is 0
-CALLS_MOST = 512  # at once
-MESSAGE_MOST = 256 * 1024
+LISTENER_INDEX = 1  # the RESP listener has 0
+MAX_CONCURRENT_CALLS = 512
+MAX_MESSAGE_BYTES = 256 * 1024
 CONTEXT_PREFIX = "scalelb."
 OVERWRITE = 2  # HeaderAppendAction.OVERWRITE_IF_EXISTS_OR_ADD
 
 
 def read_attributes(request: pb.CheckRequest) -> dict[str, str]:
-    """The headers of the request in question, names in small letters.
+    """Return the headers of the request to be admitted, with names in lower case.
 
-    A gateway's own word goes before the client's: `context_extensions` of the route, named like the header
-    with `scalelb.` before it (`scalelb.x-plan`), replace headers.
+    Values that the proxy sets replace the client's headers: an entry in the `context_extensions` of its route
+    has the name of the header with the prefix `scalelb.` (`scalelb.x-plan`).
     """
     if not request.HasField("attributes") or not request.attributes.request.HasField("http"):
         raise MalformedError("attributes.request.http is missing")
@@ -46,68 +46,76 @@
 
 
 def _denied(
-    code: int, http_status: int, words: str, more: Mapping[str, str] | None = None
+    code: int, http_status: int, message: str, extra_headers: Mapping[str, str] | None = None
 ) -> pb.CheckResponse:
     options = [
         pb.HeaderValueOption(header=pb.HeaderValue(key=name, value=value), append_action=OVERWRITE)
-        for name, value in (more or {}).items()
+        for name, value in (extra_headers or {}).items()
     ]
-    denied = pb.DeniedHttpResponse(status=pb.HttpStatus(code=http_status), headers=options, body=words)
-    return pb.CheckResponse(status=status_pb2.Status(code=code, message=words), denied_response=denied)
+    denied = pb.DeniedHttpResponse(status=pb.HttpStatus(code=http_status), headers=options, body=message)
+    return pb.CheckResponse(status=status_pb2.Status(code=code, message=message), denied_response=denied)
 
 
 def write_decision(decision: AdmissionDecision) -> pb.CheckResponse:
-    """The answer: OK, refused with the advice when to come again, or failed."""
+    """Return the response: OK, rejected with a Retry-After time, or failed."""
     if decision.verdict is Verdict.ADMITTED:
         return pb.CheckResponse(status=status_pb2.Status(code=code_pb2.OK), ok_response=pb.OkHttpResponse())
     if decision.verdict is Verdict.REJECTED:
-        wait = decision.retry_after_ms
-        more = {"retry-after": headers.retry_after(wait), "x-retry-after-ms": str(max(0, round(wait)))}
-        return _denied(code_pb2.RESOURCE_EXHAUSTED, 429, "refused: over the quota or too busy", more)
+        wait_ms = decision.retry_after_ms
+        extra_headers = {
+            "retry-after": headers.retry_after(wait_ms),
+            "x-retry-after-ms": str(max(0, round(wait_ms))),
+        }
+        return _denied(code_pb2.RESOURCE_EXHAUSTED, 429, "refused: over the quota or too busy", extra_headers)
     return _denied(code_pb2.UNAVAILABLE, 503, "failed: no decision in time")
 
 
-def _host(peer: str) -> str:
-    """The machine of a peer as gRPC names it, `ipv4:127.0.0.1:4711`: its connections are one client."""
+def _peer_host(peer: str) -> str:
+    """Return the host of a gRPC peer such as `ipv4:127.0.0.1:4711`; all its connections are one client."""
     return peer.rpartition(":")[0]
 
 
 class Authorization:
-    """`Check`: reads the attributes, asks the core, answers."""
+    """The `Check` call: reads the attributes, lets the core decide, and responds."""
 
     def __init__(
-        self, core: Core, kinds: Iterable[str], plans: Iterable[str], ready: Callable[[], bool], log: Log
+        self,
+        core: Core,
+        class_names: Iterable[str],
+        plan_names: Iterable[str],
+        is_ready: Callable[[], bool],
+        log: Log,
     ) -> None:
-        self.core, self.ready, self.log = core, ready, log
-        self.kinds = {name: place for place, name in enumerate(kinds)}
-        self.plans = {name: place for place, name in enumerate(plans)}
+        self.core, self.is_ready, self.log = core, is_ready, log
+        self.class_indexes = {name: index for index, name in enumerate(class_names)}
+        self.plan_indexes = {name: index for index, name in enumerate(plan_names)}
 
     async def check(self, request: pb.CheckRequest, context: Any) -> pb.CheckResponse:
-        """One question.  The caller's deadline binds; without one, the class's does."""
+        """Answer a call by its deadline, or that of the request class if that is earlier."""
         try:
-            asked = headers.read_headers(read_attributes(request), self.kinds, self.plans)
+            asked = headers.read_headers(read_attributes(request), self.class_indexes, self.plan_indexes)
         except MalformedError as error:
             await self.malformed(context, str(error))
             raise
-        if not self.ready():
+        if not self.is_ready():
             return _denied(code_pb2.UNAVAILABLE, 503, "failed: not ready")
-        expires = self.core.settings.request_classes[asked.kind].deadline_ms
+        expires_in_ms = self.core.settings.request_classes[asked.kind].deadline_ms
         if asked.expires_ms is not None:
-            expires = min(expires, asked.expires_ms)
-        if (left := context.time_remaining()) is not None:
-            expires = min(expires, 1000.0 * left)
+            expires_in_ms = min(expires_in_ms, asked.expires_ms)
+        if (remaining_s := context.time_remaining()) is not None:
+            expires_in_ms = min(expires_in_ms, 1000.0 * remaining_s)
         incoming = IncomingRequest(
             tenant=asked.customer,
             plan_index=asked.plan,
             class_index=asked.kind,
-            expires_in_ms=expires,
+            expires_in_ms=expires_in_ms,
             units=asked.units,
             sharing_limiters=asked.spread,
             first_limiter=asked.first,
             is_retry=asked.retry,
-            listener=LISTENER,
+            listener=LISTENER_INDEX,
             idempotency_key=asked.key,
-            client_address=_host(context.peer()),
+            client_address=_peer_host(context.peer()),
         )
         try:
             decision = await admit(self.core, incoming)
@@ -117,30 +125,32 @@
         return write_decision(decision)
 
     async def malformed(self, context: Any, what: str) -> None:
-        """Tell the caller what cannot be read; this ends the call."""
+        """Log and end a call that can't be read, with status INVALID_ARGUMENT."""
         self.log("malformed", level="warning", what=what, peer=context.peer())
         await context.abort(grpc.StatusCode.INVALID_ARGUMENT, what)
 
 
 class GrpcFront:
-    """The gRPC servers: one for each address, with health on all of them."""
+    """The gRPC servers: one for each address, all with the health service."""
 
-    def __init__(self, authorization: Authorization, check_at: str, health_at: str, log: Log) -> None:
+    def __init__(
+        self, authorization: Authorization, check_address: str, health_address: str, log: Log
+    ) -> None:
         self.authorization, self.log = authorization, log
-        self.check_at = check_at
-        self.addresses = [address for address in dict.fromkeys((check_at, health_at)) if address]
+        self.check_address = check_address
+        self.addresses = [address for address in dict.fromkeys((check_address, health_address)) if address]
         self.health = health.aio.HealthServicer()
         self.servers: list[Any] = []
         self.ports: dict[str, int] = {}
 
     async def start(self) -> None:
-        """Listen; not yet as serving."""
-        await self.tell(Status.STARTING)
+        """Start listening, with the health status NOT_SERVING."""
+        await self.set_status(Status.STARTING)
         for address in self.addresses:
-            options = [("grpc.max_receive_message_length", MESSAGE_MOST), ("grpc.so_reuseport", 0)]
-            server = grpc.aio.server(options=options, maximum_concurrent_rpcs=CALLS_MOST)
+            options = [("grpc.max_receive_message_length", MAX_MESSAGE_BYTES), ("grpc.so_reuseport", 0)]
+            server = grpc.aio.server(options=options, maximum_concurrent_rpcs=MAX_CONCURRENT_CALLS)
             health_pb2_grpc.add_HealthServicer_to_server(self.health, server)
-            if address == self.check_at:
+            if address == self.check_address:
                 check = grpc.unary_unary_rpc_method_handler(
                     self.authorization.check,
                     request_deserializer=pb.CheckRequest.FromString,
@@ -154,14 +164,14 @@
             self.servers.append(server)
         self.log("grpc", listen=self.addresses)
 
-    async def tell(self, status: Status) -> None:
-        """Show how the limiter is."""
+    async def set_status(self, status: Status) -> None:
+        """Set the status that the health service reports."""
         serving = health_pb2.HealthCheckResponse.SERVING
-        word = serving if status is Status.READY else health_pb2.HealthCheckResponse.NOT_SERVING
+        health_status = serving if status is Status.READY else health_pb2.HealthCheckResponse.NOT_SERVING
         for service in ("", SERVICE):
-            await self.health.set(service, word)
+            await self.health.set(service, health_status)
 
     async def stop(self, grace_s: float | None) -> None:
-        """Take nothing new; finish what was taken."""
+        """Accept no new calls, and finish those in progress within `grace_s` seconds."""
         for server in self.servers:
             await server.stop(grace_s)
--- a/scalelb/transport/counter.py
+++ b/scalelb/transport/counter.py
@@ -6,7 +6,7 @@
 
 from scalelb.policy.events import Outcome
 from scalelb.protocol import MalformedError, http
-from scalelb.transport.stream import Delay, Log, Reactor, Stream, dial, host_port
+from scalelb.transport.stream import DelayedCall, Log, Reactor, Stream, dial, host_port
 
 CONNECTIONS_MOST = 24  # the counter holds 32 of a limiter and resets any more
 IDLE_MS = 4000.0  # the counter closes what has stood idle for longer
@@ -24,7 +24,7 @@
         self.name, self.amount, self.keep_ms = name, amount, keep_ms
         self.wire, self.began = wire, began
         self.late = False  # given up; its answer is dropped
-        self.timer: Delay | None = None
+        self.timer: DelayedCall | None = None
 
 
 class CounterConnection(Stream):
@@ -90,7 +90,7 @@
         self.client.forget(self)
         if (add := self.add) is not None:
             self.add = None
-            sent = self.written and self.flushed
+            sent = self.written and self.is_flushed
             self.client.end(add, Outcome.TIMEOUT if sent else Outcome.CONNECT_FAILED, 0.0)
 
 
@@ -117,7 +117,8 @@
         """Add to a number; `counted` is told what became of it, in the end."""
         wire = http.add(self.address, name, amount, keep_ms)
         add = Add(name, amount, keep_ms, wire, self.clock())
-        while self.idle and self.idle[-1].unread():  # guards the call: something came that nothing asked for
+        # guards the call: something came that nothing asked for
+        while self.idle and self.idle[-1].has_unread_data():
             self.idle.pop().abort()
         if self.idle:
             connection = self.idle.pop()
--- a/scalelb/transport/director.py
+++ b/scalelb/transport/director.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from scalelb.protocol import MalformedError, http
-from scalelb.transport.pace import Pace
-from scalelb.transport.stream import Delay, Log, Reactor, Stream, dial, host_port
+from scalelb.transport.pace import PollBackoff
+from scalelb.transport.stream import DelayedCall, Log, Reactor, Stream, dial, host_port
 
 # A change counts as told 6 s after the director had it and could be reached, whatever calls were silent or
 # failed meanwhile.  So a watch that has fallen silent is found so early that further calls fit in.
@@ -62,14 +62,14 @@
         generation: int | None,
         listed: Listed,
         log: Log,
-        pace: Pace,
+        pace: PollBackoff,
     ) -> None:
         self.reactor, self.address, self.listed, self.log = reactor, address, listed, log
         self.at = host_port(address)
         self.generation = generation  # of the list that is known; nothing: the whole list is asked for
         self.connection: DirectorConnection | None = None
-        self.silent: Delay | None = None
-        self.due: Delay | None = None  # the next call
+        self.silent: DelayedCall | None = None
+        self.due: DelayedCall | None = None  # the next call
         self.pace = pace
         self.stopped = self.partial = False
         self.failed = False  # the last call brought no list: the next does not wait for a change
@@ -77,7 +77,7 @@
 
     def begin(self) -> None:
         """Connect and ask: at once for a first list, else when this one's turn has come."""
-        wait = self.pace.first() if self.generation is not None else 0.0
+        wait = self.pace.initial_delay_ms() if self.generation is not None else 0.0
         self.due = self.reactor.callLater(wait / 1000, self.start)
 
     def start(self) -> None:
@@ -91,7 +91,7 @@
         """Send the next call of the watch."""
         hold = AT_ONCE_MS if self.failed or self.generation is None else HOLD_MS
         connection.send(http.watch(self.address, self.generation, hold))
-        grace = SILENT_MS if self.pace.shared else AGENT_MS
+        grace = SILENT_MS if self.pace.is_shared else AGENT_MS
         self.silent = self.reactor.callLater((hold + grace) / 1000, self.give_up, connection)
 
     def told(self, connection: DirectorConnection, response: http.Response) -> None:
@@ -103,13 +103,13 @@
         if self.failed:
             self.log("director", level="warning", status=response.status)
             if response.status == 503:
-                self.pace.refused()
+                self.pace.on_rejected()
             if response.status in (400, 404, 410):  # guards a version that it no longer knows
                 self.generation = None
             connection.close()
             return
         generation, full, entries = http.read_list(response.body)
-        self.pace.answered()
+        self.pace.reset()
         self.rest_ms = REST_MS
         if not response.keep:
             connection.close()
@@ -142,14 +142,14 @@
             self._heard()
             self.failed = True
             self.connection = None
-            self.due = self.reactor.callLater(self.pace.pause() / 1000, self.start)
+            self.due = self.reactor.callLater(self.pace.next_delay_ms() / 1000, self.start)
 
     def move(self, address: str) -> None:
         """Watch at another address from now on.  Its versions may be others: the whole list is asked for, and
         until it comes the old one serves."""
         self.address, self.at = address, host_port(address)
         self.generation = None
-        self.pace.answered()
+        self.pace.reset()
         self._heard()
         if self.due is not None and self.due.active():  # guards the new one against a pause from the old
             self.due.cancel()
--- a/scalelb/transport/fetch.py
+++ b/scalelb/transport/fetch.py
@@ -109,11 +109,11 @@
             return
         self.fetch, fetch.connection, self.written = fetch, self, True
         self.send(wire)
-        self.drained()
+        self.on_flushed()
 
-    def drained(self) -> None:
+    def on_flushed(self) -> None:
         """All that was written has left."""
-        if self.fetch is not None and self.written and self.flushed and not self.gone:
+        if self.fetch is not None and self.written and self.is_flushed and not self.is_closed:
             self.fetch.written()
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -161,11 +161,11 @@
         """Whether a value has begun to flow and does not go on, for the backend's part."""
         return self.piece is not None and not self.paused and now - self.heard_at > STALL_MS
 
-    def go_on(self) -> None:
+    def resume_if_paused(self) -> None:
         """The client has taken what there was."""
-        if self.paused and not self.gone:
+        if self.paused and not self.is_closed:
             self.heard_at = self.backend.pool.clock()
-            self.read_on()
+            self.resume()
 
     def spoilt(self, what: str) -> None:
         """What has come can't be told apart from what is to come: the connection is given up.  A fetch on it
@@ -179,7 +179,7 @@
         self.backend.forget(self)
         if (fetch := self.fetch) is not None:
             self.fetch = fetch.connection = None
-            sent = self.written and self.flushed
+            sent = self.written and self.is_flushed
             fetch.end(AttemptResult(Outcome.RESET if sent else Outcome.CONNECT_FAILED))
 
 
@@ -218,7 +218,7 @@
         """Write it on an idle connection, or open one for it."""
         while self.idle:
             connection = self.idle.pop(self.settled())
-            if not connection.unread():
+            if not connection.has_unread_data():
                 connection.begin(fetch)
                 return
             connection.spoilt("bytes that nothing asked for, or its end")
@@ -255,7 +255,7 @@
 
     def rest(self, connection: BackendConnection) -> None:
         """A connection is free."""
-        if connection.gone:
+        if connection.is_closed:
             return
         if not self.listed:
             connection.close()
--- a/scalelb/transport/pace.py
+++ b/scalelb/transport/pace.py
@@ -1,61 +1,85 @@
-"""When to call the director again.  No I/O: time and chance are passed in.
-
-The director is one service for all limiters. It takes calls in turn, answers one that has waited too long,
-or finds no room, with 503, and works on it all the same. A limiter that calls again at once is harmless; 40
-that do keep the service full with their repetitions, and none of them is told anything. So the pause after
-a refusal grows with the number of limiters, which each is told, and is spread. A change counts as told 6 s
-after the director had it, whatever calls were refused: so the first call and the one after a refusal are made
-within 5 s of that by however many limiters. Further refusals double the pause up to what the number asks for:
-a director that bears 15 calls a second can't tell 200 limiters in 6 s, and pauses of 1.5 s kept it full of
-refusals for good (at 100 limiters one was told anything in 30 s).
-
-Where the list is pushed, what a limiter calls is an agent on its own machine, which answers at once and at no
-cost: there is nobody to spare, and every moment without its word is one in which it counts as told.
+"""Backoff between calls to discovery. No I/O: time and random numbers are passed in.
+
+Discovery is one service for all limiters. It processes calls one after the other. A call that has waited too
+long or finds the queue full is answered with 503, but still costs processing time. One limiter that calls
+again at once does no harm; 40 of them keep the service full with their repeated calls, and none gets an
+answer. The delay after a rejected call therefore grows with the number of limiters, which each of them knows,
+and is randomized.
+
+A limiter counts as notified of a change 6 s after discovery received it, even if its calls were rejected. The
+first call and the one after a rejection are therefore made within 5 s, however many limiters there are.
+Further rejections double the delay, up to a limit that depends on their number. A service that processes 15
+calls per second can't answer 200 limiters in 6 s, and with delays of 1.5 s it did nothing but reject calls:
+of 100 limiters, one got an answer in 30 s.
+
+If the endpoint list is pushed, limiters call an agent on their own machine, which answers at once and at no
+cost. There is no load to spread then, and during any delay a limiter counts as notified without having the
+list.
 """
 
 from __future__ import annotations
 
 from random import Random
 
-SOON_MS, OFTEN_MS = 20.0, 100.0  # after a lost connection, as a watch goes on only within 200 ms; and at most
-FIRST_PER_S, AGAIN_PER_S = 10.0, 5.0  # calls of all limiters together: at a start of all, and after refusals
-LONGEST = 1.5  # times the mean pause that the number of limiters asks for
-TOLD_MS = 6000.0  # a change counts as told so long after the director had it and could be reached
-FIRST, PAUSE, FAILED = 1 / 3, 1 / 3, 4.0  # of that time: the first call, the mean first pause; see `most`
+# After a lost connection; doubles up to the second. A watch is only continued within 200 ms.
+MIN_RECONNECT_DELAY_MS, MAX_RECONNECT_DELAY_MS = 20.0, 100.0
+# Calls of all limiters together: when all of them start, and after rejections.
+INITIAL_CALLS_PER_S, RETRY_CALLS_PER_S = 10.0, 5.0
+MAX_DELAY_MULTIPLE = 1.5  # of the mean delay that follows from the number of limiters
+NOTIFIED_AFTER_MS = 6000.0  # from a change in discovery until a limiter counts as notified
+# Ratios of that time, for the delay before the first call and the mean delay after a rejection; and the
+# factor by which a failed call extends the time that a limiter may stay without a call.
+INITIAL_DELAY_RATIO, RETRY_DELAY_RATIO, FAILED_CALL_MULTIPLE = 1 / 3, 1 / 3, 4.0
+
 
+class PollBackoff:
+    """The delays (ms) between one limiter's calls to discovery."""
 
-class Pace:
-    """One limiter's pauses between calls, in milliseconds."""
+    def __init__(self, limiters: int, random: Random, discovery_silence_ms: float) -> None:
+        """Create the backoff of one of `limiters` (at least 1) that call the same service.
 
-    def __init__(self, limiters: int, random: Random, must_ask_ms: float) -> None:
-        """`limiters`: how many call the same director, at least 1. `must_ask_ms`: who has not asked it for so
-        long counts as told; 0: nobody shares it, it is an agent of this machine."""
+        `discovery_silence_ms`: a limiter that has not called for so long counts as notified; 0: the limiter
+        calls an agent on its own machine, which it does not share.
+        """
         if limiters < 1:
             raise ValueError(f"limiters: must be at least 1, not {limiters}")
-        self.shared = must_ask_ms > 0
+        self.is_shared = discovery_silence_ms > 0
         self.random = random
-        told = min(TOLD_MS, must_ask_ms)
-        self.spread = min(1000 * limiters / FIRST_PER_S, FIRST * told)
-        # The longest pause is 1.5 x this, and it follows a failed call: that gives four times as much.
-        self.most = min(LONGEST * 1000 * limiters / AGAIN_PER_S, FAILED * must_ask_ms / 2 / 1.5)
-        self.again = min(self.most / LONGEST, PAUSE * told)
-        self.soon, self.times = SOON_MS, 0
-
-    def first(self) -> float:
-        """Before the first call of one that has a list to begin with: it may not be the only one to start."""
-        return self.spread * self.random.random()
-
-    def answered(self) -> None:
-        """A call was answered."""
-        self.soon, self.times = SOON_MS, 0
-
-    def refused(self) -> None:
-        """The director had no room for a call."""
-        self.times = min(self.times + 1, 16) * self.shared
-
-    def pause(self) -> float:
-        """Until the next call, as one was refused or its connection has ended."""
-        if self.times:
-            return min(self.most, self.again * 2.0 ** (self.times - 1)) * (0.5 + self.random.random())
-        pause, self.soon = self.soon, min(OFTEN_MS, 2 * self.soon)
-        return pause
+        notified_after_ms = min(NOTIFIED_AFTER_MS, discovery_silence_ms)
+        self.max_initial_delay_ms = min(
+            1000 * limiters / INITIAL_CALLS_PER_S, INITIAL_DELAY_RATIO * notified_after_ms
+        )
+        # Random delays reach 1.5 times this. The longest ones follow failed calls, after which a limiter may
+        # stay without a call for four times as long.
+        self.max_mean_delay_ms = min(
+            MAX_DELAY_MULTIPLE * 1000 * limiters / RETRY_CALLS_PER_S,
+            FAILED_CALL_MULTIPLE * discovery_silence_ms / 2 / 1.5,
+        )
+        self.base_delay_ms = min(
+            self.max_mean_delay_ms / MAX_DELAY_MULTIPLE, RETRY_DELAY_RATIO * notified_after_ms
+        )
+        self.reconnect_delay_ms, self.rejections = MIN_RECONNECT_DELAY_MS, 0
+
+    def initial_delay_ms(self) -> float:
+        """Return the delay before the first call of a limiter with a list: others may start with it."""
+        return self.max_initial_delay_ms * self.random.random()
+
+    def reset(self) -> None:
+        """Reset the delays after an answered call."""
+        self.reconnect_delay_ms, self.rejections = MIN_RECONNECT_DELAY_MS, 0
+
+    def on_rejected(self) -> None:
+        """Count a call that was rejected because the service is overloaded."""
+        self.rejections = min(self.rejections + 1, 16) * self.is_shared
+
+    def next_delay_ms(self) -> float:
+        """Return the delay before the next call, after a rejection or a lost connection."""
+        if self.rejections:
+            return min(self.max_mean_delay_ms, self.base_delay_ms * 2.0 ** (self.rejections - 1)) * (
+                0.5 + self.random.random()
+            )
+        delay_ms, self.reconnect_delay_ms = (
+            self.reconnect_delay_ms,
+            min(MAX_RECONNECT_DELAY_MS, 2 * self.reconnect_delay_ms),
+        )
+        return delay_ms
--- a/scalelb/transport/peerlink.py
+++ b/scalelb/transport/peerlink.py
@@ -15,7 +15,7 @@
 from twisted.internet.protocol import ServerFactory
 
 from scalelb.protocol import MalformedError, resp
-from scalelb.transport.stream import Delay, Log, Reactor, Stream, dial, host_port
+from scalelb.transport.stream import DelayedCall, Log, Reactor, Stream, dial, host_port
 
 WORD = b"PEERS"
 HELLO_S = 2.0  # in which a peer has to name itself
@@ -34,7 +34,7 @@
         self.reader = resp.CommandReader()
         self.greeted = False  # its first message has come
         self.came, self.second, self.heard = 0, 0.0, 0.0
-        self.late: Delay | None = None
+        self.late: DelayedCall | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
         """The connection is up: say who is here."""
@@ -76,7 +76,7 @@
                     self.links.heard(self, message)
                 else:
                     self.links.greet(self, message)
-                if self.gone or self.links.closing:
+                if self.is_closed or self.links.closing:
                     return
         except (MalformedError, ValueError) as error:
             self.links.wrong(self, str(error))
@@ -177,7 +177,7 @@
     def ready(self, name: str) -> bool:
         """Whether a peer takes more now: what is newest waits for it here, and nothing lines up."""
         connection = self.up.get(name)
-        return connection is not None and connection.flushed
+        return connection is not None and connection.is_flushed
 
     def send(self, name: str, message: Any) -> None:
         """One message, if there is a link."""
--- a/scalelb/transport/session.py
+++ b/scalelb/transport/session.py
@@ -1,4 +1,4 @@
-"""Client sessions: commands in, answers out in the order of the commands."""
+"""Downstream connections: a session reads commands and sends the answers in the order of the commands."""
 
 from __future__ import annotations
 
@@ -19,295 +19,343 @@
 from scalelb.protocol import MalformedError, resp
 from scalelb.transport.stream import Log, Stream
 
-AHEAD_MOST = 4 * 1024 * 1024  # bytes of a value that are read before its client takes them
-PENDING_MOST, PENDING_LOW = 64, 32  # commands of one session without an answer: stop reading, read again
-FAILED = resp.error("failed")
-SILENT_MS = 1800.0  # for a session's first byte, from connecting
-FIRST_MS = 2300.0  # for its first whole command; a client may spend 2 s on a head
-PART_MS = 2300.0  # for the rest of a command, from its first byte
-OWED_MS = 1000.0  # for the answers before that to a malformed command
-LINGER_MS, LINGER_BYTES = 400.0, 256 * 1024  # after the last answer: what still comes is skipped
-IDLE_MS, IDLE_LEAST_MS = 2100.0, 300.0  # without an open request: where usual clients are few, and many
-FEW, MANY = 0.5, 0.9  # parts of the connections that usual clients hold at most
-IDLE_FULL_MS = 2100.0, 600.0  # the least that it may be idle where there is no room; and while others wait
-STUCK_MS = 8000.0  # that a client may leave its answers unread
-FRESH_MS = 250.0, 30.0  # that a new session may be silent, likewise
-PARTED_MS = 100.0  # between the end of our sending and that of the connection
-AT_ONCE = 16  # where there is none, this part of the sessions makes room at once
-SPARE = 24  # sessions above the most, for a moment
-CROWDED, ROOMY = 0.85, 0.7  # parts of the most sessions: from the one on, room is made down to the other
+MAX_SESSION_READ_AHEAD_BYTES = 4 * 1024 * 1024  # of streamed values that the client has not taken yet
+# Commands of a session without an answer: reading pauses above the first number and resumes below the second.
+MAX_PENDING_COMMANDS, RESUME_PENDING_COMMANDS = 64, 32
+FAILED_REPLY = resp.error("failed")
+FIRST_BYTE_TIMEOUT_MS = 1800.0  # from connecting
+FIRST_COMMAND_TIMEOUT_MS = 2300.0  # from connecting; clients may take 2 s to send a request head
+COMMAND_TIMEOUT_MS = 2300.0  # from the first byte of a command to its last
+PENDING_ANSWERS_TIMEOUT_MS = 1000.0  # after a malformed command, for the answers to the commands before it
+LINGER_TIMEOUT_MS, MAX_LINGER_BYTES = 400.0, 256 * 1024  # of input that is discarded after the last answer
+# Idle timeout without an open request. It falls from the first value to the second while the connections in
+# use rise from the low to the high ratio of those that well-behaved clients hold at most.
+IDLE_TIMEOUT_MS, MIN_IDLE_TIMEOUT_MS = 2100.0, 300.0
+LOW_USAGE_RATIO, HIGH_USAGE_RATIO = 0.5, 0.9
+# Idle time after which a session may be evicted: while new clients are accepted, and while they have to wait.
+EVICTION_IDLE_MS = 2100.0, 600.0
+WRITE_TIMEOUT_MS = 8000.0  # for a client to read its answers
+# Time that a new session has for its first command before it may be evicted, in the same two cases.
+NEW_SESSION_GRACE_MS = 250.0, 30.0
+HALF_CLOSED_TIMEOUT_MS = 100.0  # from half-closing a connection to closing it
+# Above its limit a listener evicts 1/16 of its sessions at once; closing, it accepts 16 connections a round.
+BATCH_SIZE = 16
+SPARE_SESSIONS = 24  # above the limit, for the moment until accepting pauses
+# Above the first ratio of the maximum number of sessions, idle ones are evicted down to the second.
+HIGH_WATERMARK_RATIO, LOW_WATERMARK_RATIO = 0.85, 0.7
 
 
 class Feeder(Protocol):
-    """Whoever brings a value in pieces."""
+    """The source of a streamed value, which arrives in pieces."""
 
     def pause(self) -> None:
-        """Bring nothing for now."""
+        """Stop delivering pieces for now."""
 
-    def go_on(self) -> None:
-        """Go on."""
+    def resume_if_paused(self) -> None:
+        """Deliver pieces again."""
 
 
 class Answer:
-    """The place of an answer in a session's order."""
+    """The place of an answer in the order of a session's commands."""
 
     __slots__ = ("data", "feeder", "last", "parts", "request", "sent")
 
     def __init__(self, data: bytes | None = None, last: bool = False) -> None:
+        # `data` is None until the answer is known. After the `last` answer the session ends.
         self.data, self.last = data, last
         self.request: OpenRequest | None = None
-        self.feeder: Feeder | None = None  # brings its value in pieces
-        self.parts = b""  # that wait for the answers before it
-        self.sent = False  # something of it has left
+        self.feeder: Feeder | None = None  # the source of a streamed value
+        self.parts = b""  # pieces that wait for the answers before this one
+        self.sent = False  # whether a part of it was sent
 
 
 class ClientSession(Stream):
-    """One client's connection.  It is the caller of its requests."""
+    """A downstream connection, and the caller of its requests."""
 
-    def __init__(self, door: Door) -> None:
-        self.door = door
+    def __init__(self, listener: RespListener) -> None:
+        self.listener = listener
         self.reader = resp.CommandReader()
-        self.order: deque[Answer] = deque()
-        self.ended = self.leaving = False  # nothing more is read; and the connection is closing
-        self.heard = False  # a whole command has come
-        self.client = ""  # where it comes from
-        self.skipped = 0  # bytes that came after the end
-        self.since = self.part_since = self.stuck_since = 0.0  # see `Door.sweep`
-        self.ahead = 0  # bytes of values that the client has not taken yet
+        self.answers: deque[Answer] = deque()  # those that are pending, in the order of the commands
+        # Whether further input is discarded, and whether the connection is being closed.
+        self.is_input_ended = self.is_closing = False
+        self.has_received_command = False
+        self.client_address = ""
+        self.discarded_bytes = 0  # input after `is_input_ended`
+        # Start times (ms) of the timeouts in `close_if_timed_out`: the last activity or change of state, the
+        # first byte of a command, and when the client was first seen not to read its answers (0: it reads).
+        self.active_at = self.command_started_at = self.write_blocked_at = 0.0
+        self.read_ahead_bytes = 0  # of streamed values that the client has not taken yet
 
     def connectionMade(self) -> None:  # noqa: N802
-        """The connection is up."""
+        """Register the session with its listener."""
         super().connectionMade()
-        self.since = self.door.clock()
-        self.client = str(getattr(self.transport.getPeer(), "host", ""))
-        self.door.joined(self)
+        self.active_at = self.listener.clock()
+        self.client_address = str(getattr(self.transport.getPeer(), "host", ""))
+        self.listener.on_connect(self)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Bytes from the client."""
-        if self.ended:
-            self.skipped += len(data)
-            if self.skipped > LINGER_BYTES:  # guards the processor: the rest stays with the kernel
+        """Process bytes from the client."""
+        if self.is_input_ended:
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > MAX_LINGER_BYTES:  # saves CPU time: the rest stays in the kernel
                 self.pause()
             return
-        began, whole = self.reader.buffer.size, False
+        buffered_before, is_command_complete = self.reader.buffer.size, False
         try:
             for command in self.reader.feed(data):
-                self.heard = whole = True
-                self._take(command)
-                if self.ended:
+                self.has_received_command = is_command_complete = True
+                self._handle_command(command)
+                if self.is_input_ended:
                     return
         except MalformedError as error:
-            # Guards the process: whatever comes, the client is told, its connection ends, others go on.
+            # Malformed input affects only its own connection, which ends after an error reply.
             self.malformed(str(error))
             return
-        if whole or not began:
-            now = self.door.clock()
-            self.part_since, self.since = now, now if whole else self.since
-        # Guards the memory against a client that only sends, or does not read what it is answered.
-        if len(self.order) > PENDING_MOST or not self.flushed:
+        if is_command_complete or not buffered_before:
+            now = self.listener.clock()
+            self.command_started_at, self.active_at = now, now if is_command_complete else self.active_at
+        # Bounds the memory for a client that sends many commands, or does not read its answers.
+        if len(self.answers) > MAX_PENDING_COMMANDS or not self.is_flushed:
             self.pause()
 
     def malformed(self, what: str) -> None:
-        """Tell the client, once the answers before are out, and read nothing more of it."""
-        self.door.log("malformed", level="warning", what=what, peer=str(self.transport.getPeer()))
+        """Send an error after the pending answers, and discard all further input."""
+        self.listener.log("malformed", level="warning", what=what, peer=str(self.transport.getPeer()))
         self.reader = resp.CommandReader()
-        self._last(resp.error(f"malformed: {what}"))
-
-    def there(self) -> bool:
-        """Whether the client has not left."""
-        return not (self.gone or self.leaving or (self.paused and self.hung_up()))
-
-    def idle(self) -> bool:
-        """Whether it owes nothing, and nothing of a further command has come.  Guards a request that is just
-        arriving against the end of its connection."""
-        owing = self.ended or self.order or self.reader.buffer.size or not self.flushed
-        return not (owing or self.unread())
-
-    def overdue(self, now: float, idle_ms: float) -> bool:
-        """House-keeping.  Whether the session was ended."""
-        if self.leaving:
-            if self.paused and now - self.since > PARTED_MS:
+        self._send_last(resp.error(f"malformed: {what}"))
+
+    def is_client_connected(self) -> bool:
+        """Return whether the client can still receive an answer."""
+        return not (self.is_closed or self.is_closing or (self.paused and self.has_peer_closed()))
+
+    def is_idle(self) -> bool:
+        """Return whether no answer is pending and no part of a further command has arrived.
+
+        Unread bytes count as a command, so that a request that is just arriving does not lose its connection.
+        """
+        is_busy = self.is_input_ended or self.answers or self.reader.buffer.size or not self.is_flushed
+        return not (is_busy or self.has_unread_data())
+
+    def close_if_timed_out(self, now: float, idle_timeout_ms: float) -> bool:
+        """Apply the timeouts of a session; return whether it was ended."""
+        if self.is_closing:
+            if self.paused and now - self.active_at > HALF_CLOSED_TIMEOUT_MS:
                 self.close()
             return False
-        if self.paused and self.hung_up():  # it has left: what is tried for it is given up
+        if self.paused and self.has_peer_closed():  # the client has disconnected: its attempts are cancelled
             self.abort()
-        elif self.ended:
-            if now - self.since > (OWED_MS if self.order or not self.flushed else LINGER_MS):
-                self.cut_short()
-        elif not self.flushed and self.stuck_since and now - self.stuck_since > STUCK_MS:
-            self.door.log("stuck", level="warning", peer=str(self.transport.getPeer()))
+        elif self.is_input_ended:
+            if now - self.active_at > (
+                PENDING_ANSWERS_TIMEOUT_MS if self.answers or not self.is_flushed else LINGER_TIMEOUT_MS
+            ):
+                self.fail_pending_answers()
+        elif not self.is_flushed and self.write_blocked_at and now - self.write_blocked_at > WRITE_TIMEOUT_MS:
+            self.listener.log("stuck", level="warning", peer=str(self.transport.getPeer()))
             self.abort()
         elif self.reader.buffer.size and (
-            (now - self.part_since > PART_MS and not self.paused)
-            or (now - self.since > FIRST_MS and not self.heard)
+            (now - self.command_started_at > COMMAND_TIMEOUT_MS and not self.paused)
+            or (now - self.active_at > FIRST_COMMAND_TIMEOUT_MS and not self.has_received_command)
         ):
             self.malformed("the command does not end")
-        elif now - self.since > (idle_ms if self.heard else SILENT_MS) and self.idle():
-            self.leave()
+        elif (
+            now - self.active_at > (idle_timeout_ms if self.has_received_command else FIRST_BYTE_TIMEOUT_MS)
+            and self.is_idle()
+        ):
+            self.close_idle()
         else:
-            self.stuck_since = 0.0 if self.flushed else self.stuck_since or now
+            self.write_blocked_at = 0.0 if self.is_flushed else self.write_blocked_at or now
             return False
         return True
 
-    def leave(self) -> None:
-        """End the connection; the peer is told at once, as it may be about to write a request."""
-        self.leaving = self.ended = True
-        self.close_now()
+    def close_idle(self) -> None:
+        """Close an idle connection. The peer sees this at once, as it may be about to write a request."""
+        self.is_closing = self.is_input_ended = True
+        self.close_immediately()
+
+    def close_gracefully(self) -> None:
+        """Half-close the connection, and close it shortly after.
 
-    def part(self) -> None:
-        """End our sending, and the connection a moment later.  Guards the answer just written: a close over
-        bytes that come meanwhile resets the connection.  They are not read: the client sends them anew."""
-        self.leaving = self.ended = True
-        self.since = self.door.clock()
+        Closing it while bytes arrive would reset it, and the client could lose the answer that was just
+        written. Such bytes are not read: the client sends its request again on another connection.
+        """
+        self.is_closing = self.is_input_ended = True
+        self.active_at = self.listener.clock()
         self.pause()
-        self.end_writing()  # the peer is told at once, as it may be about to write a request
-        self.close_writing()
-
-    def cut_short(self) -> None:
-        """The time of an ended session is up.  What it still owes was asked for ahead of a command that could
-        not be read: given up, answered, and the connection ends."""
-        if not self.order or self.order[0].sent:  # half a value can't be followed by an error
-            self.leaving = True
+        self.shutdown_write()  # the peer sees this at once, as it may be about to write a request
+        self.half_close()
+
+    def fail_pending_answers(self) -> None:
+        """End a session whose time is up after its last command.
+
+        Requests before a malformed command that still have no answer are cancelled and answered as failed.
+        """
+        if not self.answers or self.answers[0].sent:  # an error can't follow part of a value
+            self.is_closing = True
             self.abort()
             return
-        for answer in self.order:
+        for answer in self.answers:
             if answer.request is not None and answer.data is None:
-                self.door.count(answer.request.payload.call.kind, self.door.metrics.errors)
-        self._give_up()
-        for answer in self.order:
-            answer.data = FAILED if answer.data is None else answer.data
-        self._flush()
-
-    def _give_up(self) -> None:
-        for answer in self.order:
+                self.listener.count(answer.request.payload.call.kind, self.listener.metrics.errors)
+        self._cancel_requests()
+        for answer in self.answers:
+            answer.data = FAILED_REPLY if answer.data is None else answer.data
+        self._send_ready_answers()
+
+    def _cancel_requests(self) -> None:
+        for answer in self.answers:
             if answer.request is not None and answer.data is None:
-                self.door.forget(answer.request)
-                self.door.core.cancel(answer.request)
+                self.listener.release_request(answer.request)
+                self.listener.core.cancel(answer.request)
 
-    def _take(self, command: resp.Command) -> None:
+    def _handle_command(self, command: resp.Command) -> None:
         name = command.name
         if name in (resp.SAFE, resp.OTHER):
-            self._call(command, name)
+            self._handle_request(command, name)
         elif name == b"PING":
-            ready = self.door.ready()
-            self._add(Answer(resp.PONG if ready else resp.error("not ready")))
+            is_ready = self.listener.is_ready()
+            self._append_answer(Answer(resp.PONG if is_ready else resp.error("not ready")))
         elif name in (b"CLIENT", b"SELECT"):
-            self._add(Answer(resp.OK))
+            self._append_answer(Answer(resp.OK))
         elif name == b"QUIT":
-            self._last(resp.OK)
+            self._send_last(resp.OK)
         else:
-            self._add(Answer(resp.error("unknown command")))
+            self._append_answer(Answer(resp.error("unknown command")))
 
-    def _call(self, command: resp.Command, name: bytes) -> None:
+    def _handle_request(self, command: resp.Command, name: bytes) -> None:
         call = resp.Call.read(command)
-        if self.door.held + len(call.raw) > self.door.held_most:  # guards the memory; nothing was charged
-            settings = self.door.core.settings
-            self.door.count(call.kind, self.door.metrics.rejected)
-            self._add(Answer(resp.busy(settings.max_retry_after_ms if settings.sends_retry_after else 0.0)))
+        # Bounds the memory of open requests; a request rejected here is not charged.
+        if self.listener.open_request_bytes + len(call.raw) > self.listener.max_open_request_bytes:
+            settings = self.listener.core.settings
+            self.listener.count(call.kind, self.listener.metrics.rejected)
+            self._append_answer(
+                Answer(resp.busy(settings.max_retry_after_ms if settings.sends_retry_after else 0.0))
+            )
             return
         answer = Answer()
-        answer.request = self.door.arrive(self, call, name == resp.SAFE, answer)
-        self.order.append(answer)
+        answer.request = self.listener.submit_request(self, call, name == resp.SAFE, answer)
+        self.answers.append(answer)
 
     def on_answer(
         self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
     ) -> None:
-        """The final answer of one request; it waits only for those before it."""
-        self.door.forget(request)
-        metrics = self.door.metrics
-        data, counts = FAILED, metrics.errors  # type: tuple[bytes | memoryview, list[int]]
+        """Send the final answer of a request, after all answers to earlier commands."""
+        self.listener.release_request(request)
+        metrics = self.listener.metrics
+        data, counts = FAILED_REPLY, metrics.errors  # type: tuple[bytes | memoryview, list[int]]
         if verdict is Verdict.SERVED and value is not None:
             data, counts = value, metrics.ok
         elif verdict is Verdict.REJECTED:
             data, counts = resp.busy(retry_after_ms), metrics.rejected
-        self.door.count(request.payload.call.kind, counts)
+        self.listener.count(request.payload.call.kind, counts)
         answer = request.payload.answer
         answer.feeder = None
-        if self.order and self.order[0] is answer:
-            self.order.popleft()
+        if self.answers and self.answers[0] is answer:
+            self.answers.popleft()
             self.send(data)
-            self.since = self.since if self.ended else self.door.clock()
-            self._flush()
+            self.active_at = self.active_at if self.is_input_ended else self.listener.clock()
+            self._send_ready_answers()
         else:
             answer.data, answer.parts = answer.parts + data, b""
 
-    def begin(self, answer: Answer, feeder: Feeder) -> None:
-        """A value begins to come in pieces."""
+    def begin_value(self, answer: Answer, feeder: Feeder) -> None:
+        """Start a streamed value."""
         answer.feeder = feeder
 
-    def piece(self, answer: Answer, data: bytes | memoryview) -> None:
-        """A piece of it: sent on at once where no other answer is due before, else kept, and no more is read.
-        Guards the backends, and customers with a cap on attempts, against slow clients: an attempt is out
-        until its value is read, so it is read ahead.  Guards the memory: only so much, of one and of all."""
-        if self.gone or answer.feeder is None:
+    def send_piece(self, answer: Answer, data: bytes | memoryview) -> None:
+        """Send a piece of a streamed value; if other answers come before it, buffer it and pause the feeder.
+
+        Values are read ahead of slow clients. An attempt is in flight until its value has been read, so a
+        slow client would otherwise occupy a backend, and requests of a tenant with a concurrency limit would
+        have to wait for it. The bytes read ahead are bounded for each session and for all sessions together.
+        """
+        if self.is_closed or answer.feeder is None:
             return
-        if self.order and self.order[0] is answer:
+        if self.answers and self.answers[0] is answer:
             answer.sent = True
             self.send(data)
-            self.since = self.since if self.ended else self.door.clock()
-            if not self.flushed:
-                self.ahead += len(data)
-                self.door.ahead += len(data)
-                if self.ahead > AHEAD_MOST or self.door.ahead > self.door.ahead_most:
+            self.active_at = self.active_at if self.is_input_ended else self.listener.clock()
+            if not self.is_flushed:
+                self.read_ahead_bytes += len(data)
+                self.listener.read_ahead_bytes += len(data)
+                if (
+                    self.read_ahead_bytes > MAX_SESSION_READ_AHEAD_BYTES
+                    or self.listener.read_ahead_bytes > self.listener.max_read_ahead_bytes
+                ):
                     answer.feeder.pause()
         else:
             answer.parts += data
             answer.feeder.pause()
 
-    def broken(self, answer: Answer, request: OpenRequest) -> None:
-        """A value that has begun won't be whole.  Where something of it has left, only the connection's end
-        can tell the client so."""
+    def fail_value(self, answer: Answer, request: OpenRequest) -> None:
+        """Handle the failure of a streamed value before its end.
+
+        If a part of it was sent, only closing the connection shows the client that it is incomplete.
+        """
         answer.feeder, answer.parts = None, b""
         if answer.sent:
-            self.door.count(request.payload.call.kind, self.door.metrics.errors)
-            self.door.forget(request)
-            self.door.core.cancel(request)
+            self.listener.count(request.payload.call.kind, self.listener.metrics.errors)
+            self.listener.release_request(request)
+            self.listener.core.cancel(request)
             answer.data = b""
             self.abort()
 
-    def _add(self, answer: Answer) -> None:
-        self.order.append(answer)
-        self._flush()
+    def _append_answer(self, answer: Answer) -> None:
+        self.answers.append(answer)
+        self._send_ready_answers()
 
-    def _last(self, data: bytes) -> None:
-        self.ended, self.since = True, self.door.clock()
-        self._add(Answer(data, last=True))
+    def _send_last(self, data: bytes) -> None:
+        self.is_input_ended, self.active_at = True, self.listener.clock()
+        self._append_answer(Answer(data, last=True))
 
-    def _flush(self) -> None:
-        while self.order and (data := self.order[0].data) is not None:
+    def _send_ready_answers(self) -> None:
+        while self.answers and (data := self.answers[0].data) is not None:
             self.send(data)
-            if self.order.popleft().last:
-                self.since = self.door.clock()
-                self.close_writing()
+            if self.answers.popleft().last:
+                self.active_at = self.listener.clock()
+                self.half_close()
                 return
-        if self.order and (head := self.order[0]).parts:
-            data, head.parts = head.parts, b""
-            self.piece(head, data)
-        self.drained()
-
-    def drained(self) -> None:
-        """Read on, once the client has taken its answers and few are owed; the last of a door that closes is
-        followed by the end.  Guards a request that came meanwhile: it is read and served first."""
-        if self.flushed and self.ahead:
-            self.door.ahead, self.ahead = self.door.ahead - self.ahead, 0
-        if self.flushed and self.order and (feeder := self.order[0].feeder) is not None:
-            feeder.go_on()
-        if self.paused and self.flushed and not (self.gone or self.ended) and len(self.order) < PENDING_LOW:
-            self.part_since = self.door.clock()
-            self.read_on()
-        if self.door.closing and not self.leaving and self.idle():
-            self.part()
+        if self.answers and (first := self.answers[0]).parts:
+            data, first.parts = first.parts, b""
+            self.send_piece(first, data)
+        self.on_flushed()
+
+    def on_flushed(self) -> None:
+        """Resume reading if the client has taken its answers and few are pending.
+
+        While the listener closes, the session is closed after its last answer, unless another request has
+        arrived in the meantime: that is read and served first.
+        """
+        if self.is_flushed and self.read_ahead_bytes:
+            self.listener.read_ahead_bytes, self.read_ahead_bytes = (
+                self.listener.read_ahead_bytes - self.read_ahead_bytes,
+                0,
+            )
+        if self.is_flushed and self.answers and (feeder := self.answers[0].feeder) is not None:
+            feeder.resume_if_paused()
+        if (
+            self.paused
+            and self.is_flushed
+            and not (self.is_closed or self.is_input_ended)
+            and len(self.answers) < RESUME_PENDING_COMMANDS
+        ):
+            self.command_started_at = self.listener.clock()
+            self.resume()
+        if self.listener.is_closing and not self.is_closing and self.is_idle():
+            self.close_gracefully()
 
     def lost(self) -> None:
-        """The client has left."""
-        self.door.ahead, self.ahead = self.door.ahead - self.ahead, 0
-        self._give_up()
-        self.order.clear()
-        self.door.left(self)
+        """Cancel the requests of a client that has disconnected."""
+        self.listener.read_ahead_bytes, self.read_ahead_bytes = (
+            self.listener.read_ahead_bytes - self.read_ahead_bytes,
+            0,
+        )
+        self._cancel_requests()
+        self.answers.clear()
+        self.listener.on_disconnect(self)
 
 
-class Held:
-    """What a request is kept with: how to pass it on, and the place of its answer."""
+class RequestPayload:
+    """What an open request carries: its call, to be forwarded, and the place of its answer."""
 
     __slots__ = ("answer", "call")
 
@@ -315,188 +363,226 @@
         self.call, self.answer = call, answer
 
 
-class Door(ServerFactory):
-    """Accepts client sessions and hands their requests to the core."""
+class RespListener(ServerFactory):
+    """Accepts client sessions and submits their requests to the core."""
 
     noisy = False
 
     def __init__(
         self,
         core: Core,
-        kinds: list[str],
-        plans: list[str],
-        ready: Callable[[], bool],
+        class_names: list[str],
+        plan_names: list[str],
+        is_ready: Callable[[], bool],
         log: Log,
-        sessions_most: int,
-        held_most: int = 16 * 1024 * 1024,
-        ahead_most: int = 16 * 1024 * 1024,
-        clients_most: int = 0,
-        keyed: bool = False,
+        max_sessions: int,
+        max_open_request_bytes: int = 16 * 1024 * 1024,
+        max_read_ahead_bytes: int = 16 * 1024 * 1024,
+        expected_connections: int = 0,
+        has_other_listener: bool = False,
         metrics: ClassMetrics | None = None,
     ) -> None:
-        self.keyed = keyed  # whether a request may also come through another door
-        self.core, self.ready, self.log = core, ready, log
-        self.metrics = metrics or ClassMetrics(len(kinds))
-        self.kinds = {name: place for place, name in enumerate(kinds)}
-        self.plans = {name: place for place, name in enumerate(plans)}
+        """`expected_connections`: the most that well-behaved clients hold; 0: `max_sessions`."""
+        self.has_other_listener = has_other_listener  # through which the same request may arrive
+        self.core, self.is_ready, self.log = core, is_ready, log
+        self.metrics = metrics or ClassMetrics(len(class_names))
+        self.class_indexes = {name: index for index, name in enumerate(class_names)}
+        self.plan_indexes = {name: index for index, name in enumerate(plan_names)}
         self.sessions: dict[ClientSession, None] = {}
-        self.sessions_most, self.held_most, self.ahead_most = sessions_most, held_most, ahead_most
-        self.clients_most = clients_most or sessions_most
-        self.idents: set[bytes] = set()  # of the open requests
-        self.held = 0  # bytes of the open requests
-        self.ahead = 0  # bytes of values that clients have not taken yet
-        self.closing = self.full = False
+        self.max_sessions, self.max_open_request_bytes, self.max_read_ahead_bytes = (
+            max_sessions,
+            max_open_request_bytes,
+            max_read_ahead_bytes,
+        )
+        self.expected_connections = expected_connections or max_sessions
+        self.open_request_ids: set[bytes] = set()
+        self.open_request_bytes = 0
+        self.read_ahead_bytes = 0  # of streamed values that clients have not taken yet
+        self.is_closing = self.is_full = False
         self.clock = core.clock
         self.port: Any = None
 
     def buildProtocol(self, addr: IAddress | None) -> ClientSession | None:  # noqa: N802
-        """A client connects.  Many may in one round, before the port can be told to wait: beyond what is
-        spare, they are closed at once."""
-        if len(self.sessions) >= self.sessions_most + SPARE:
+        """Return a session for a new connection; None, which closes it, above the spare sessions.
+
+        Many connections may be accepted in one round, before the port can be paused.
+        """
+        if len(self.sessions) >= self.max_sessions + SPARE_SESSIONS:
             return None
         return ClientSession(self)
 
-    def joined(self, session: ClientSession) -> None:
-        """Guards the descriptors: over the limit, another session makes room, and nothing more is accepted
-        until one has ended (the kernel holds new ones meanwhile)."""
+    def on_connect(self, session: ClientSession) -> None:
+        """Add a session; above the limit, evict others and pause accepting until one has ended.
+
+        This bounds the number of descriptors. Meanwhile new connections wait in the kernel.
+        """
         self.sessions[session] = None
         if self.port is not None:
-            # Guards the descriptors against many at once: Twisted accepts more in one round with each round
-            # that was full, and only between rounds can it be told to wait.
+            # Bounds the number of connections that are accepted in one round: Twisted accepts more after each
+            # full round, and the port can be paused only between rounds.
             self.port.numberAccepts = 0
-        if len(self.sessions) > self.sessions_most:
-            if not self.full and self.port is not None:
-                self.full = True
+        if len(self.sessions) > self.max_sessions:
+            if not self.is_full and self.port is not None:
+                self.is_full = True
                 self.port.pauseProducing()
-            self.make_room(1 + self.sessions_most // AT_ONCE)
+            self.evict_sessions(1 + self.max_sessions // BATCH_SIZE)
 
-    def left(self, session: ClientSession) -> None:
-        """A session has ended."""
+    def on_disconnect(self, session: ClientSession) -> None:
+        """Remove a session that has ended."""
         self.sessions.pop(session, None)
-        if self.full and len(self.sessions) <= self.sessions_most and not self.closing:
-            self.full = False
+        if self.is_full and len(self.sessions) <= self.max_sessions and not self.is_closing:
+            self.is_full = False
             self.port.resumeProducing()
 
-    def make_room(self, wanted: int) -> int:
-        """End so many sessions that owe nothing: those whose last answer is out, those that were silent from
-        the start, then those idle for longest.  Returns how many."""
+    def evict_sessions(self, max_count: int) -> int:
+        """End sessions without a pending answer; return how many were ended.
+
+        The order is: sessions that have sent their last answer, those that have not sent a command, and those
+        that have been idle for longest.
+        """
         now = self.clock()
-        ended = [s for s in self.sessions if s.ended and not (s.order or s.leaving)]
-        # Guards usual clients behind a queue of silent ones, or of some that ask once and stay: they write
-        # their request as soon as they connect, and what they use is idle for less.
-        fresh_ms, idle_ms = FRESH_MS[self.full], IDLE_FULL_MS[self.full]
-        silent = [s for s in self.sessions if not s.heard and not s.ended and now - s.since > fresh_ms]
-        idle = [s for s in self.sessions if s.heard and not s.ended and now - s.since > idle_ms]
-        made = 0
-        for session in ended + silent + sorted(idle, key=lambda s: s.since):
-            if made >= wanted:
+        ended = [s for s in self.sessions if s.is_input_ended and not (s.answers or s.is_closing)]
+        # Well-behaved clients send a request as soon as they connect, and their connections are idle for less
+        # than this. They must not wait behind connections that send nothing, or stay open after one request.
+        grace_ms, idle_ms = NEW_SESSION_GRACE_MS[self.is_full], EVICTION_IDLE_MS[self.is_full]
+        without_command = [
+            s
+            for s in self.sessions
+            if not s.has_received_command and not s.is_input_ended and now - s.active_at > grace_ms
+        ]
+        idle = [
+            s
+            for s in self.sessions
+            if s.has_received_command and not s.is_input_ended and now - s.active_at > idle_ms
+        ]
+        evicted_count = 0
+        for session in ended + without_command + sorted(idle, key=lambda s: s.active_at):
+            if evicted_count >= max_count:
                 break
-            if session.ended:
-                session.cut_short()
-            elif session.idle():
-                session.leave()
+            if session.is_input_ended:
+                session.fail_pending_answers()
+            elif session.is_idle():
+                session.close_idle()
             else:
                 continue
-            made += 1
-        return made
+            evicted_count += 1
+        return evicted_count
 
     def sweep(self) -> None:
-        """House-keeping: none stays for long that sends nothing, half a command, or more than it reads."""
+        """End sessions that send nothing or only part of a command, or that don't read their answers."""
         now, count = self.clock(), len(self.sessions)
-        # Guards the usual clients: they hold so many connections at most, and those that ask once and stay
-        # leave none to the others, long before there is no room here.
-        share = sum(s.heard and not s.ended for s in self.sessions) / self.clients_most
-        many = min(1.0, max(0.0, (share - FEW) / (MANY - FEW)))
-        idle_ms = IDLE_MS + many * (IDLE_LEAST_MS - IDLE_MS)
-        ended = self._with_each(lambda session: session.overdue(now, idle_ms))
-        if count - ended > CROWDED * self.sessions_most:
-            room = CROWDED if self.full else ROOMY
-            self.make_room(int(count - ended - room * self.sessions_most))
-
-    def count(self, kind: str, counts: list[int]) -> None:
-        """One more of a class, if there is such a class."""
-        if (place := self.kinds.get(kind)) is not None:
-            counts[place] += 1
+        # Well-behaved clients hold a limited number of connections. Those that stay open after one request
+        # would leave none for further requests, long before this listener is full.
+        usage_ratio = (
+            sum(s.has_received_command and not s.is_input_ended for s in self.sessions)
+            / self.expected_connections
+        )
+        pressure_ratio = min(
+            1.0, max(0.0, (usage_ratio - LOW_USAGE_RATIO) / (HIGH_USAGE_RATIO - LOW_USAGE_RATIO))
+        )
+        idle_timeout_ms = IDLE_TIMEOUT_MS + pressure_ratio * (MIN_IDLE_TIMEOUT_MS - IDLE_TIMEOUT_MS)
+        ended_count = self._for_each_session(lambda session: session.close_if_timed_out(now, idle_timeout_ms))
+        if count - ended_count > HIGH_WATERMARK_RATIO * self.max_sessions:
+            target_ratio = HIGH_WATERMARK_RATIO if self.is_full else LOW_WATERMARK_RATIO
+            self.evict_sessions(int(count - ended_count - target_ratio * self.max_sessions))
+
+    def count(self, class_name: str, counts: list[int]) -> None:
+        """Increment the count of a class; unknown classes are ignored."""
+        if (index := self.class_indexes.get(class_name)) is not None:
+            counts[index] += 1
 
     def active(self) -> int:
-        """Commands that were taken and are not answered yet."""
-        return sum(len(session.order) for session in self.sessions)
-
-    def forget(self, request: OpenRequest) -> None:
-        """A request is finished: its id may come again."""
-        self.idents.discard(request.payload.call.ident)
-        self.held -= len(request.payload.call.raw)
-
-    def arrive(self, session: ClientSession, call: resp.Call, safe: bool, answer: Answer) -> OpenRequest:
-        """Hand one request to the core."""
-        kind, plan = self.kinds.get(call.kind), self.plans.get(call.plan)
-        if kind is None or plan is None:
+        """Return the number of commands without an answer."""
+        return sum(len(session.answers) for session in self.sessions)
+
+    def release_request(self, request: OpenRequest) -> None:
+        """Release the id and the bytes of a finished request."""
+        self.open_request_ids.discard(request.payload.call.ident)
+        self.open_request_bytes -= len(request.payload.call.raw)
+
+    def submit_request(
+        self, session: ClientSession, call: resp.Call, is_idempotent: bool, answer: Answer
+    ) -> OpenRequest:
+        """Submit a request to the core; raise `MalformedError` if its values are unknown or out of range."""
+        class_index, plan_index = self.class_indexes.get(call.kind), self.plan_indexes.get(call.plan)
+        if class_index is None or plan_index is None:
             raise MalformedError(f"class {call.kind!r} or plan {call.plan!r} is not known")
-        effect, group = (
-            self.core.settings.request_classes[kind].idempotency,
-            self.core.settings.request_classes[kind].deduplication_scope,
+        idempotency, deduplication_scope = (
+            self.core.settings.request_classes[class_index].idempotency,
+            self.core.settings.request_classes[class_index].deduplication_scope,
         )
-        if safe != (effect is Idempotency.IDEMPOTENT):
+        if is_idempotent != (idempotency is Idempotency.IDEMPOTENT):
             raise MalformedError(f"class {call.kind!r} does not come by this command")
-        if effect is Idempotency.IDEMPOTENCY_KEY and not call.key:
+        if idempotency is Idempotency.IDEMPOTENCY_KEY and not call.key:
             raise MalformedError("a request of a keyed class without a key")
-        if call.ident in self.idents:
+        if call.ident in self.open_request_ids:
             raise MalformedError("the id is that of an open request")
         incoming = IncomingRequest(
             tenant=call.customer,
-            plan_index=plan,
-            class_index=kind,
+            plan_index=plan_index,
+            class_index=class_index,
             expires_in_ms=call.expires_ms,
             units=call.units,
             sharing_limiters=call.spread,
             first_limiter=call.first,
             is_retry=call.retry,
-            idempotency_key=call.key if self.keyed or group is not DeduplicationScope.ALL else "",
-            client_address=session.client,
+            idempotency_key=call.key
+            if self.has_other_listener or deduplication_scope is not DeduplicationScope.ALL
+            else "",
+            client_address=session.client_address,
         )
         try:
-            request = self.core.submit(session, Held(call, answer), incoming)
+            request = self.core.submit(session, RequestPayload(call, answer), incoming)
         except OutOfRangeError as error:
             raise MalformedError(str(error)) from None
-        self.idents.add(call.ident)
-        self.held += len(call.raw)
+        self.open_request_ids.add(call.ident)
+        self.open_request_bytes += len(call.raw)
         return request
 
-    def shut(self, shared: bool = False) -> None:
-        """Take nobody new but those who wait already, and close every session once it owes nothing.  Who
-        waits at a `shared` socket is left to the other life that holds it: it has this one's account."""
+    def close(self, is_shared: bool = False) -> None:
+        """Stop listening, and close each session as soon as it has no pending answer.
+
+        Connections that wait in the kernel are accepted first. On a shared socket they are left to the other
+        incarnation, which has taken over the quota balances: this one would have to reject their requests.
+        """
         if self.port is not None:
-            if not shared:
+            if not is_shared:
                 self.accept_waiting()
             self.port.stopListening()
-        self.closing = True
-        self.shut_on()
+        self.is_closing = True
+        self.close_idle_sessions()
 
     def accept_waiting(self) -> None:
-        """Accept what the kernel holds for us.  Guards those who have connected and asked already: they would
-        be reset as the port closes."""
-        before = -1
-        while before < len(self.sessions) < self.sessions_most + SPARE:
-            before, self.port.numberAccepts = len(self.sessions), AT_ONCE
+        """Accept the connections that wait in the kernel: stopping to listen would reset them.
+
+        Their clients have connected and may have sent a request already.
+        """
+        count_before = -1
+        while count_before < len(self.sessions) < self.max_sessions + SPARE_SESSIONS:
+            count_before, self.port.numberAccepts = len(self.sessions), BATCH_SIZE
             self.port.doRead()
 
-    def shut_on(self) -> None:
-        """Again and again while the door closes: end what owes nothing, and what has ended its sending.  One
-        that has just connected is about to ask."""
+    def close_idle_sessions(self) -> None:
+        """Close sessions without a pending answer; called repeatedly while the listener closes.
+
+        A session that has just connected is left open, as its client is about to send a request.
+        """
         now = self.clock()
-        self._with_each(lambda session: self._shut_one(session, now))
+        self._for_each_session(lambda session: self._close_if_idle(session, now))
 
     @staticmethod
-    def _shut_one(session: ClientSession, now: float) -> None:
-        fresh = not session.heard and now - session.since < FRESH_MS[0]
-        if session.leaving:
-            session.overdue(now, 0.0)
-        elif not fresh and session.idle():
-            session.part()
-
-    def _with_each(self, step: Callable[[ClientSession], bool | None]) -> int:
-        """Take a step with every session; returns how often it was true.  A session with which something
-        fails is ended, so that all others are looked after and the program can end."""
+    def _close_if_idle(session: ClientSession, now: float) -> None:
+        is_new = not session.has_received_command and now - session.active_at < NEW_SESSION_GRACE_MS[0]
+        if session.is_closing:
+            session.close_if_timed_out(now, 0.0)
+        elif not is_new and session.is_idle():
+            session.close_gracefully()
+
+    def _for_each_session(self, step: Callable[[ClientSession], bool | None]) -> int:
+        """Call a function with every session; return how often it returned true.
+
+        A session for which it raises is aborted, so that all others are processed and the program can end.
+        """
         count = 0
         for session in list(self.sessions):
             try:
--- a/scalelb/transport/status.py
+++ b/scalelb/transport/status.py
@@ -1,4 +1,4 @@
-"""Listeners that tell other balancers how this limiter is: HAProxy's agent check, and health over HTTP."""
+"""Status listeners for other load balancers: HAProxy's agent check, and health checks over HTTP."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from scalelb.protocol.agentcheck import Status, line
 from scalelb.transport.stream import Log, Reactor, Stream
 
-Tell = Callable[[], tuple[Status, float]]
-CLIENTS_MOST = 16  # of each listener at once
-CLIENT_S = 10.0  # that a client may stay
+GetStatus = Callable[[], tuple[Status, float]]  # status and admission probability
+MAX_CLIENTS = 16  # connections of each listener
+CONNECTION_TIMEOUT_S = 10.0
 
 
 class StatusConnection(Stream):
-    """One client of a status listener."""
+    """A connection of a status listener."""
 
     def __init__(self, factory: StatusFactory) -> None:
         self.factory = factory
-        self.reader = http.RequestReader(self.asked)
+        self.reader = http.RequestReader(self.on_request)
 
     def connectionMade(self) -> None:  # noqa: N802
-        """The connection is up.  An agent check is answered at once; whatever comes in is skipped."""
+        """Answer an agent check at once, without reading any input; otherwise wait for a request."""
         super().connectionMade()
         factory = self.factory
         factory.clients.add(self)
-        if factory.agent or len(factory.clients) > CLIENTS_MOST:
-            if factory.agent:
-                self.send(line(*factory.tell()))
+        if factory.is_agent_check or len(factory.clients) > MAX_CLIENTS:
+            if factory.is_agent_check:
+                self.send(line(*factory.get_status()))
             self.close()
         else:
-            factory.reactor.callLater(CLIENT_S, self.abort)
+            factory.reactor.callLater(CONNECTION_TIMEOUT_S, self.abort)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Bytes from the client."""
-        if self.factory.agent:
+        """Process bytes from the client."""
+        if self.factory.is_agent_check:
             return
         try:
             self.reader.feed(data)
@@ -48,9 +48,9 @@
             self.send(http.response(400, "Bad Request", b"{}"))
             self.close()
 
-    def asked(self, method: str, path: str, keep: bool) -> None:
-        """One request: `/health` and `/ready` tell whether requests are taken, `/live` that it runs."""
-        status, weight = self.factory.tell()
+    def on_request(self, method: str, path: str, keep: bool) -> None:
+        """Answer a request: `/health` and `/ready` report readiness, `/live` that the process runs."""
+        status, weight = self.factory.get_status()
         body = orjson.dumps({"status": status.value, "weight": round(weight, 3)})
         if method not in ("GET", "HEAD"):
             code, reason = 405, "Method Not Allowed"
@@ -66,7 +66,7 @@
             self.close()
 
     def lost(self) -> None:
-        """The client has left."""
+        """Remove the connection."""
         self.factory.clients.discard(self)
 
 
@@ -75,10 +75,15 @@
 
     noisy = False
 
-    def __init__(self, reactor: Reactor, tell: Tell, log: Log, agent: bool) -> None:
-        self.reactor, self.tell, self.log, self.agent = reactor, tell, log, agent
+    def __init__(self, reactor: Reactor, get_status: GetStatus, log: Log, is_agent_check: bool) -> None:
+        self.reactor, self.get_status, self.log, self.is_agent_check = (
+            reactor,
+            get_status,
+            log,
+            is_agent_check,
+        )
         self.clients: set[StatusConnection] = set()
 
     def buildProtocol(self, addr: IAddress | None) -> StatusConnection:  # noqa: N802
-        """A client connects."""
+        """Return the protocol of a new connection."""
         return StatusConnection(self)
--- a/scalelb/transport/stream.py
+++ b/scalelb/transport/stream.py
@@ -1,4 +1,4 @@
-"""What all connections share: a line receiver in raw mode whose bytes go to a codec."""
+"""Base of all connections: a line receiver in raw mode, whose subclasses pass the bytes to a codec."""
 
 from __future__ import annotations
 
@@ -17,205 +17,219 @@
 Log = Callable[..., None]
 
 
-class Delay(Protocol):
-    """A call that is to be made later."""
+class DelayedCall(Protocol):
+    """The part of Twisted's `IDelayedCall` that is used here."""
 
     def cancel(self) -> None:
-        """Do not make it."""
+        """Cancel the call."""
 
     def active(self) -> bool:
-        """Whether it is still to be made."""
+        """Return whether the call is still pending."""
 
 
 class Reactor(Protocol):
-    """What is used of a Twisted reactor."""
+    """The part of a Twisted reactor that is used here."""
 
     def seconds(self) -> float:
-        """The time, on a clock that only goes on."""
+        """Return the time (s) of a monotonic clock."""
 
-    def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Delay:  # noqa: N802
-        """Call after so many seconds."""
+    def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> DelayedCall:  # noqa: N802
+        """Schedule a call after `delay` seconds."""
 
     def connectTCP(  # noqa: N802
         self, host: str, port: int, factory: ClientFactory, timeout: float = 30
     ) -> Any:
-        """Open a connection."""
+        """Open a connection; return its connector."""
 
     def listenTCP(  # noqa: N802
         self, port: int, factory: Any, backlog: int = 50, interface: str = ""
     ) -> Any:
-        """Accept connections."""
+        """Listen for connections; return the port."""
 
 
 @implementer(IPullProducer)
-class Drain:
-    """Told by the transport when all that was written is with the kernel."""
+class FlushNotifier:
+    """A producer through which the transport reports that the kernel has taken all bytes written."""
 
     def __init__(self, stream: Stream) -> None:
         self.stream = stream
-        self.asked = False
+        self.is_registered = False
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """The first call comes at the registration, the second when the buffer is empty."""
-        if self.asked:
+        """Ignore the first call, made on registration; the second is made when the buffer is empty."""
+        if self.is_registered:
             self.stream.transport.unregisterProducer()
-            self.stream.flushed = True
-            self.stream.drained()
-        self.asked = True
+            self.stream.is_flushed = True
+            self.stream.on_flushed()
+        self.is_registered = True
 
     def stopProducing(self) -> None:  # noqa: N802
-        """The connection is lost."""
+        """Do nothing: the stream learns of a lost connection by `connectionLost`."""
 
 
 class Stream(LineReceiver):
-    """A connection.  `flushed` tells whether all bytes sent so far are with the kernel.
+    """A connection. `is_flushed` is true while the kernel has taken all bytes sent so far.
 
-    Sends go straight to the socket while nothing waits before them: a write through the reactor costs two
-    more system calls and a round of its loop, and does not tell when the last byte has left.
+    As long as no earlier bytes wait, `send` writes directly to the socket: a write through the reactor costs
+    two more system calls and a round of its loop, and does not report when the last byte was written.
     """
 
     transport: Any = None
-    flushed = True
-    gone = False
+    is_flushed = True
+    is_closed = False
     socket: Any = None
-    connector: Any = None  # of one that we open, until it is up
+    connector: Any = None  # of an outgoing connection until it is established
 
     def connectionMade(self) -> None:  # noqa: N802
-        """The connection is up."""
-        self.connector, self.line_mode = None, 0  # raw; as setRawMode() does
+        """Set up an established connection."""
+        self.connector, self.line_mode = None, 0  # raw mode, as set by setRawMode()
         self.socket = getattr(self.transport, "socket", None)
         if self.socket is not None:
             self.transport.setTcpNoDelay(True)
 
     def send(self, data: bytes | memoryview) -> None:
-        """Write; what the kernel does not take at once is copied and follows."""
-        if self.gone:
+        """Write bytes; those that the kernel does not take at once are copied and written later."""
+        if self.is_closed:
             return
         sent = 0
-        if self.flushed and self.socket is not None:
+        if self.is_flushed and self.socket is not None:
             try:
                 sent = self.socket.send(data)
-            except OSError:  # full or broken: the transport finds out which
+            except OSError:  # the buffer is full, or the connection is broken: the transport finds out which
                 sent = 0
             if sent == len(data):
                 return
         self.transport.write(bytes(data[sent:] if sent else data))
-        if self.flushed and self.socket is not None:
-            self.flushed = False
-            self.transport.registerProducer(Drain(self), False)
+        if self.is_flushed and self.socket is not None:
+            self.is_flushed = False
+            self.transport.registerProducer(FlushNotifier(self), False)
 
-    def unread(self) -> bool:
-        """Whether the kernel holds something of the peer, or its end, that was not read yet."""
+    def has_unread_data(self) -> bool:
+        """Return whether the kernel holds unread bytes of the peer, or the end of its input or an error."""
         if self.socket is None:
             return False
         try:
             self.socket.recv(1, MSG_PEEK)
         except BlockingIOError:
             return False
-        except OSError:  # it has broken
+        except OSError:  # the connection is broken
             return True
         return True
 
-    def hung_up(self) -> bool:
-        """Whether the peer has ended its side, also behind bytes that are not read yet: a connection that is
-        paused is not read, so the loop does not tell."""
+    def has_peer_closed(self) -> bool:
+        """Return whether the peer has closed its side, even if unread bytes precede that.
+
+        A paused connection is not read, so the reactor does not report that its peer has closed.
+        """
         if self.socket is None:
-            return self.gone
-        watch = poll()
-        watch.register(self.socket, POLLRDHUP)
-        return any(event & (POLLRDHUP | POLLHUP | POLLERR) for _, event in watch.poll(0))
+            return self.is_closed
+        poller = poll()
+        poller.register(self.socket, POLLRDHUP)
+        return any(event & (POLLRDHUP | POLLHUP | POLLERR) for _, event in poller.poll(0))
 
-    def drained(self) -> None:
-        """All that was written has left."""
+    def on_flushed(self) -> None:
+        """Called when the kernel has taken all bytes written."""
 
     def pause(self) -> None:
-        """Read no further for now."""
+        """Stop reading."""
         self.paused = True
         self.transport.pauseProducing()
 
-    def read_on(self) -> None:
-        """Read again."""
+    def resume(self) -> None:
+        """Start reading again."""
         self.paused = False
         self.transport.resumeProducing()
 
     def close(self) -> None:
-        """End the connection once all is written."""
-        if not self.gone:
+        """Close the connection when all bytes are written."""
+        if not self.is_closed:
             self.transport.loseConnection()
 
-    def close_now(self) -> None:
-        """End the connection; nothing waits to be written.  The transport would close its socket only in a
-        later round of the loop."""
-        self.end_writing()
+    def close_immediately(self) -> None:
+        """Close a connection that has no bytes left to write; the peer sees this at once.
+
+        The transport alone would close the socket only in a later round of the reactor.
+        """
+        self.shutdown_write()
         self.close()
 
-    def end_writing(self) -> None:
-        """End our sending at once; nothing waits to be written."""
+    def shutdown_write(self) -> None:
+        """Half-close at once a connection that has no bytes left to write."""
         if self.socket is not None:
-            with suppress(OSError):  # it may have been reset meanwhile
+            with suppress(OSError):  # the connection may have been reset
                 self.socket.shutdown(SHUT_WR)
 
-    def close_writing(self) -> None:
-        """End our sending once all is written; the rest is the peer's.  A connection that is closed while
-        bytes of the peer are unread is reset, and the peer may lose what it was just sent."""
-        if not self.gone:
+    def half_close(self) -> None:
+        """Half-close the connection when all bytes are written; the peer closes the other half.
+
+        Closing a connection while bytes of the peer are unread resets it, and the peer may lose the bytes
+        that were just sent.
+        """
+        if not self.is_closed:
             self.transport.loseWriteConnection()
 
     def abort(self) -> None:
-        """End the connection now.
+        """End the connection without writing the remaining bytes, or stop connecting.
 
-        Guards the rule of one attempt at a time: the transport closes its socket only in a later round of the
-        loop, and the next attempt may be written in this one.  Our sending ends before this returns.
+        The sending side is shut down before this returns. The transport closes the socket only in a later
+        round of the reactor, while the next attempt of a request may be written in the current one: two
+        attempts would be in flight at the same time.
         """
-        if self.gone:
+        if self.is_closed:
             return
-        if self.transport is None:  # it is still dialled: there is no connection yet
+        if self.transport is None:  # not connected yet
             if self.connector is not None:
                 self.connector.stopConnecting()
             return
-        self.end_writing()
+        self.shutdown_write()
         self.transport.abortConnection()
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         """Never called in raw mode."""
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """The connection has ended."""
-        self.gone, self.socket = True, None
+        """Mark the stream as closed and call `lost`."""
+        self.is_closed, self.socket = True, None
         self.lost()
 
     def lost(self) -> None:
-        """The connection has ended."""
+        """Called when the connection has ended."""
 
 
-class Dial(ClientFactory):
-    """Opens one connection for a given stream."""
+class StreamFactory(ClientFactory):
+    """Connects one given stream."""
 
     noisy = False
 
-    def __init__(self, stream: Stream, failed: Callable[[], None]) -> None:
-        self.stream, self.failed = stream, failed
+    def __init__(self, stream: Stream, on_failure: Callable[[], None]) -> None:
+        self.stream, self.on_failure = stream, on_failure
 
     def buildProtocol(self, addr: IAddress | None) -> Stream:  # noqa: N802
-        """The connection is up."""
+        """Return the stream for the established connection."""
         return self.stream
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802
-        """It never came up."""
-        self.stream.gone, self.stream.connector = True, None
-        self.failed()
+        """Report that the connection could not be established."""
+        self.stream.is_closed, self.stream.connector = True, None
+        self.on_failure()
 
 
 def dial(
-    reactor: Reactor, address: tuple[str, int], stream: Stream, failed: Callable[[], None], timeout_ms: float
+    reactor: Reactor,
+    address: tuple[str, int],
+    stream: Stream,
+    on_failure: Callable[[], None],
+    timeout_ms: float,
 ) -> None:
-    """Open a connection for a stream, whose `abort` may end it before it is up; `failed` is told then too."""
-    stream.connector = reactor.connectTCP(*address, Dial(stream, failed), timeout=timeout_ms / 1000)
+    """Open a connection for a stream; `on_failure` is also called if `Stream.abort` stops the connecting."""
+    stream.connector = reactor.connectTCP(
+        *address, StreamFactory(stream, on_failure), timeout=timeout_ms / 1000
+    )
 
 
 def host_port(address: str) -> tuple[str, int]:
-    """`host:port`, also `[v6]:port`, to its parts."""
-    host, mark, port = address.rpartition(":")
-    if not mark or not port.isdigit() or not 0 <= int(port) < 65536 or not host:
+    """Split an address, `host:port` or `[v6]:port`, into host and port."""
+    host, separator, port = address.rpartition(":")
+    if not separator or not port.isdigit() or not 0 <= int(port) < 65536 or not host:
         raise ValueError(f"{address!r} is not host:port")
     return host.strip("[]"), int(port)
--- a/tests/broken_program.py
+++ b/tests/broken_program.py
@@ -16,11 +16,11 @@
     usual = ClientSession.on_answer
 
     def on_answer(self: ClientSession, request: Any, *answer: Any) -> None:
-        if not self.door.closing:
+        if not self.listener.is_closing:
             usual(self, request, *answer)
             return
-        self.door.forget(request)
-        self.order.remove(request.payload.answer)
+        self.listener.release_request(request)
+        self.answers.remove(request.payload.answer)
 
     ClientSession.on_answer = on_answer  # type: ignore[method-assign, assignment]
 
@@ -51,7 +51,7 @@
 def read_on_until_the_kill() -> None:
     """Sessions are never closed, and what is open has its own deadline, however late it came."""
     program.Program.kill_after_s = lambda self: 60.0  # type: ignore[method-assign]
-    ClientSession.idle = lambda self: False  # type: ignore[method-assign]
+    ClientSession.is_idle = lambda self: False  # type: ignore[method-assign]
 
 
 BREAKS: dict[str, Callable[[], None]] = {
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -23,7 +23,7 @@
 from typing import Any
 from unittest.mock import Mock
 
-from standin import SITE
+from standin import LIMITER_SETTINGS
 from twisted.internet import error
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
@@ -170,8 +170,8 @@
         self.logged: list[dict[str, Any]] = []
         config = Config(
             name="n0", listen="127.0.0.1:1", director="127.0.0.1:7000", counter="127.0.0.1:7100", seed=2,
-            sockets=sockets, settings=replace(SITE, **fields), kinds=kind_names, plans=plan_names, zones=(),
-            known=tuple(map(entry, range(backends * known))),
+            sockets=sockets, settings=replace(LIMITER_SETTINGS, **fields), kinds=kind_names, plans=plan_names,
+            zones=(), known=tuple(map(entry, range(backends * known))),
             generation=generation, connect_timeout_ms=250.0, conn_idle_ms=30_000.0, requests_most=4096,
             fairness=fairness,
         )  # fmt: skip
--- a/tests/test_admission_queue_in_core.py
+++ b/tests/test_admission_queue_in_core.py
@@ -10,7 +10,7 @@
 import pytest
 from driver import SETTINGS, Driver
 from scenario import Harness
-from standin import KINDS, PLANS, SITE, Backside
+from standin import CLASS_NAMES, LIMITER_SETTINGS, PLAN_NAMES, CoreHarness
 from test_core import RecordingClient, submit
 from test_middleware import HEADERS
 
@@ -23,7 +23,7 @@
 
 ONE_IN_FLIGHT = AdmissionQueueSettings(start_requests=1.0, least_requests=1.0, most_requests=1.0)
 TWO_IN_FLIGHT = AdmissionQueueSettings(start_requests=2.0, least_requests=2.0, most_requests=2.0)
-NO_COUNTER = replace(SITE, has_counter=False)
+NO_COUNTER = replace(LIMITER_SETTINGS, has_counter=False)
 
 SCENARIOS = {
     "queued request is sent when there is capacity": """
@@ -94,7 +94,7 @@
 
 
 def test_each_request_is_answered_once_when_the_queue_is_full() -> None:
-    harness = Backside(NO_COUNTER, door=replace(ONE_IN_FLIGHT, max_queued=5))
+    harness = CoreHarness(NO_COUNTER, queue_settings=replace(ONE_IN_FLIGHT, max_queued=5))
     clients = [submit(harness, tenant=f"c{n % 7}")[0] for n in range(300)]
     harness.run(10_000.0)
     assert all(len(client.answers) == 1 for client in clients)
@@ -111,7 +111,7 @@
 def test_keyed_request_queued_through_one_listener_is_charged_once_through_another(
     second_listener: int,
 ) -> None:
-    harness = Backside(NO_COUNTER, door=ONE_IN_FLIGHT)
+    harness = CoreHarness(NO_COUNTER, queue_settings=ONE_IN_FLIGHT)
     for _ in range(2):
         submit(harness)
         harness.run()
@@ -143,7 +143,7 @@
 
 
 def test_admissions_are_queued_and_count_as_in_flight_for_the_usual_latency() -> None:
-    harness = Backside(NO_COUNTER, door=ONE_IN_FLIGHT)
+    harness = CoreHarness(NO_COUNTER, queue_settings=ONE_IN_FLIGHT)
     clients = [submit(harness, admission_only=True)[0] for _ in range(4)]
     harness.run()
     answered = [len(client.answers) for client in clients]
@@ -153,7 +153,7 @@
 
 
 def test_request_cancelled_while_queued_spends_nothing() -> None:
-    harness = Backside(NO_COUNTER, door=ONE_IN_FLIGHT)
+    harness = CoreHarness(NO_COUNTER, queue_settings=ONE_IN_FLIGHT)
     for _ in range(2):
         submit(harness)
         harness.run()
@@ -187,7 +187,7 @@
 
             async def send(message: Any) -> None: ...
 
-            await LimiterMiddleware(app, host, KINDS, PLANS)(scope, receive, send)
+            await LimiterMiddleware(app, host, CLASS_NAMES, PLAN_NAMES)(scope, receive, send)
 
         tasks = [asyncio.ensure_future(send_request()) for _ in range(4)]
         for _ in range(20):
@@ -207,8 +207,9 @@
 
 
 def test_rejections_because_of_the_quota_get_retry_after_times_spaced_by_its_rate() -> None:
-    harness = Backside(
-        replace(NO_COUNTER, max_retry_after_ms=60_000.0), door=AdmissionQueueSettings(plan_rates=(4.0,))
+    harness = CoreHarness(
+        replace(NO_COUNTER, max_retry_after_ms=60_000.0),
+        queue_settings=AdmissionQueueSettings(plan_rates=(4.0,)),
     )
     clients: list[RecordingClient] = [submit(harness, units=2.0)[0] for _ in range(40)]
     harness.run()
@@ -288,12 +289,14 @@
 )
 def test_faulty_settings_are_reported_by_their_key(options: dict[str, Any], message: str) -> None:
     with pytest.raises(ConfigError, match=message):
-        read_admission_queue(options, SITE, ("basic",))
+        read_admission_queue(options, LIMITER_SETTINGS, ("basic",))
 
 
 def test_admission_queue_is_off_unless_turned_on() -> None:
-    assert read_admission_queue({}, SITE, ("basic",)) is None
-    queue_settings = read_admission_queue({"door": {"on": True}, "weights": {"basic": 2.0}}, SITE, ("basic",))
+    assert read_admission_queue({}, LIMITER_SETTINGS, ("basic",)) is None
+    queue_settings = read_admission_queue(
+        {"door": {"on": True}, "weights": {"basic": 2.0}}, LIMITER_SETTINGS, ("basic",)
+    )
     assert queue_settings is not None
     assert queue_settings.weights == (2.0,)
     assert queue_settings.reserve
--- a/tests/test_authorization.py
+++ b/tests/test_authorization.py
@@ -11,7 +11,7 @@
 import pytest
 from google.rpc import code_pb2
 from grpc_health.v1 import health_pb2, health_pb2_grpc
-from standin import KINDS, PLANS, SITE, Backside, Counter
+from standin import CLASS_NAMES, LIMITER_SETTINGS, PLAN_NAMES, CoreHarness, InMemoryCounter
 
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.policy.settings import Plan
@@ -32,9 +32,9 @@
 class Gateway:
     """The stand-in gateway: a channel to a front of our own."""
 
-    def __init__(self, back: Backside) -> None:
-        self.back, self.logged = back, []  # type: tuple[Backside, list[dict[str, Any]]]
-        check = Authorization(back.core, KINDS, PLANS, lambda: True, self.log)
+    def __init__(self, back: CoreHarness) -> None:
+        self.back, self.logged = back, []  # type: tuple[CoreHarness, list[dict[str, Any]]]
+        check = Authorization(back.core, CLASS_NAMES, PLAN_NAMES, lambda: True, self.log)
         self.front = GrpcFront(check, "127.0.0.1:0", "", self.log)
 
     def log(self, event: str, **fields: Any) -> None:
@@ -69,9 +69,9 @@
         return answer
 
 
-def play(story: Callable[[Gateway], Awaitable[None]], back: Backside | None = None) -> None:
+def play(story: Callable[[Gateway], Awaitable[None]], back: CoreHarness | None = None) -> None:
     async def run() -> None:
-        async with Gateway(back or Backside()) as gateway:
+        async with Gateway(back or CoreHarness()) as gateway:
             await asyncio.wait_for(story(gateway), 60)
 
     asyncio.run(run())
@@ -101,7 +101,7 @@
         assert int(told["retry-after"]) >= 1
         assert 0 < int(told["x-retry-after-ms"]) <= 1000
 
-    play(story, Backside(replace(SITE, has_counter=False)))
+    play(story, CoreHarness(replace(LIMITER_SETTINGS, has_counter=False)))
 
 
 @pytest.mark.parametrize(
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("silent", [False, True], ids=["counter answers", "counter silent"])
 def test_a_caller_that_cancels_while_held_spends_nothing(silent: bool) -> None:
     async def story(g: Gateway) -> None:
-        g.back.counter.silent = silent
+        g.back.counter.is_unresponsive = silent
         await use_up(g)
         ada = g.back.core.limiter.tenants.tenants[ADA]
         calls, before = (
@@ -198,7 +198,7 @@
         g.back.run(5000.0)
         assert not g.back.core.open_requests
 
-    play(story, Backside(replace(SITE, limiter_count=3), Counter()))
+    play(story, CoreHarness(replace(LIMITER_SETTINGS, limiter_count=3), InMemoryCounter()))
 
 
 def test_a_caller_that_cancels_after_the_decision_has_spent_all_of_it() -> None:
@@ -231,7 +231,7 @@
         assert await g.waiting  # type: ignore[attr-defined]
         assert not g.back.core.open_requests
 
-    play(story, Backside(replace(SITE, has_counter=False, limiter_count=3)))
+    play(story, CoreHarness(replace(LIMITER_SETTINGS, has_counter=False, limiter_count=3)))
 
 
 def test_a_grpc_deadline_ends_the_wait() -> None:
@@ -245,12 +245,12 @@
         assert await g.waiting  # type: ignore[attr-defined]
         assert not g.back.core.open_requests
 
-    play(story, Backside(replace(SITE, has_counter=False, limiter_count=3)))
+    play(story, CoreHarness(replace(LIMITER_SETTINGS, has_counter=False, limiter_count=3)))
 
 
 def test_a_silent_counter_does_not_stop_decisions() -> None:
     async def story(g: Gateway) -> None:
-        g.back.counter.silent = True
+        g.back.counter.is_unresponsive = True
         for _ in range(12):
             await g.ask(1000.0, x_quota="units=6")
         tally = g.back.core.counts
@@ -261,26 +261,26 @@
 
 
 def test_a_restart_begins_with_nothing_and_serves() -> None:
-    counter = Counter()
+    counter = InMemoryCounter()
     for start in (1e6, 1e6 + 500.0):
-        back = Backside(SITE, counter, start)
+        back = CoreHarness(LIMITER_SETTINGS, counter, start)
 
         async def story(g: Gateway) -> None:
             assert (await g.ask()).status.code == code_pb2.OK
             g.back.run(100.0)
 
         play(story, back)
-    assert sum(counter.numbers.values()) <= 2 * 16.0
+    assert sum(counter.totals.values()) <= 2 * 16.0
 
 
 def test_a_stop_shows_and_what_was_taken_is_finished() -> None:
     async def story(g: Gateway) -> None:
         stub = health_pb2_grpc.HealthStub(g.channel)
-        await g.front.tell(Status.READY)
+        await g.front.set_status(Status.READY)
         ask = health_pb2.HealthCheckRequest(service="envoy.service.auth.v3.Authorization")
         assert (await stub.Check(ask)).status == health_pb2.HealthCheckResponse.SERVING
         await use_up(g)
-        await g.front.tell(Status.DRAINING)
+        await g.front.set_status(Status.DRAINING)
         assert (await stub.Check(ask)).status == health_pb2.HealthCheckResponse.NOT_SERVING
         stopping = asyncio.ensure_future(g.front.stop(30.0))
         await asyncio.sleep(0.01)
@@ -289,7 +289,7 @@
         assert answer.WhichOneof("http_response")
         await stopping
 
-    play(story, Backside(replace(SITE, has_counter=False, limiter_count=3)))
+    play(story, CoreHarness(replace(LIMITER_SETTINGS, has_counter=False, limiter_count=3)))
 
 
 @pytest.mark.parametrize(("first", "second", "counted"), [(0, 1, 1), (1, 0, 1), (0, 0, 2), (1, 1, 2)])
@@ -307,10 +307,10 @@
         )  # time stands still: no credit came in
         assert charged == 2.0 * counted
 
-    play(story, Backside(replace(SITE, plans=(Plan(rate_per_s=4.0, burst=100.0),))))
+    play(story, CoreHarness(replace(LIMITER_SETTINGS, plans=(Plan(rate_per_s=4.0, burst=100.0),))))
 
 
-def through_platform(back: Backside, key: str) -> None:
+def through_platform(back: CoreHarness, key: str) -> None:
     class Client:
         def on_answer(self, *_: Any) -> None: ...
 
--- a/tests/test_contained_faults.py
+++ b/tests/test_contained_faults.py
@@ -10,7 +10,7 @@
 import pytest
 from driver import SETTINGS, Driver, actions_of_type
 from scenario import Harness
-from standin import PLAN, SITE, Backside
+from standin import LIMITER_SETTINGS, PLAN, CoreHarness
 from test_core import RecordingClient, submit
 
 from scalelb.admission_queue import AdmissionQueueSettings
@@ -21,7 +21,7 @@
 from scalelb.policy.exceptions import DecisionFaultError
 from scalelb.policy.limiter import HOUSEKEEPING_TIMER, SCHEDULING_TIMER
 
-NO_COUNTER = replace(SITE, has_counter=False)
+NO_COUNTER = replace(LIMITER_SETTINGS, has_counter=False)
 SMALL_QUOTA = replace(NO_COUNTER, plans=(replace(PLAN, rate_per_s=4.0, burst=2.0),))
 
 
@@ -42,8 +42,8 @@
 
 def core_expecting_faults(
     settings: Any = NO_COUNTER, queue_settings: AdmissionQueueSettings | None = None
-) -> Backside:
-    harness = Backside(settings, door=queue_settings)
+) -> CoreHarness:
+    harness = CoreHarness(settings, queue_settings=queue_settings)
     harness.expects_faults = True
     return harness
 
@@ -52,7 +52,7 @@
     return [verdict for verdict, _ in client.answers]
 
 
-def break_arrivals_of(harness: Backside, tenant: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def break_arrivals_of(harness: CoreHarness, tenant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     limiter = harness.core.limiter
     broken = raising_if(limiter.tenants.find, lambda name: name == tenant)
     monkeypatch.setattr(limiter.tenants, "find", broken)
@@ -287,7 +287,7 @@
     for name in ("client", "client2"):
         harness.run(f"{name} send *1\\n$4\\nPING\\n\n {name} expect +PONG")
     faulty = harness.wire("client").protocol
-    for method_name in ("overdue", "part"):
+    for method_name in ("close_if_timed_out", "close_gracefully"):
         monkeypatch.setattr(faulty, method_name, lambda *_: 1 / 0)
     if is_stopping:
         harness.program.stop()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from standin import SITE, Backside
+from standin import LIMITER_SETTINGS, CoreHarness
 
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.limits import CoreLimits
@@ -27,7 +27,7 @@
 
 
 def submit(
-    harness: Backside, units: float = 1.0, admission_only: bool = False, **fields: Any
+    harness: CoreHarness, units: float = 1.0, admission_only: bool = False, **fields: Any
 ) -> tuple[RecordingClient, Any]:
     client = RecordingClient()
     incoming = IncomingRequest(tenant="ad", plan_index=0, class_index=0, expires_in_ms=7000.0, units=units)
@@ -35,7 +35,7 @@
 
 
 def test_request_is_answered_only_after_submit_has_returned() -> None:
-    harness = Backside()
+    harness = CoreHarness()
     client, _ = submit(harness, expires_in_ms=1.0)
     assert not client.answers
     harness.run()
@@ -44,7 +44,7 @@
 
 def test_timers_of_finished_requests_cause_no_wakeups() -> None:
     # In a profile under light load, a third of the turns were due to timers of answered requests.
-    harness = Backside(replace(SITE, has_counter=False))
+    harness = CoreHarness(replace(LIMITER_SETTINGS, has_counter=False))
     for _ in range(5):
         submit(harness)
     harness.run(1000.0)
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("is_sent", [False, True], ids=["not sent", "sent"])
 def test_cancelled_request_gets_no_answer(is_sent: bool) -> None:
-    harness = Backside(replace(SITE, has_counter=False, cancels_attempts=True))
+    harness = CoreHarness(replace(LIMITER_SETTINGS, has_counter=False, cancels_attempts=True))
     client, request = submit(harness)
     if is_sent:
         harness.run()
@@ -71,7 +71,7 @@
 
 
 def test_request_cancelled_in_the_turn_of_its_decision_is_not_sent() -> None:
-    harness = Backside(replace(SITE, has_counter=False))
+    harness = CoreHarness(replace(LIMITER_SETTINGS, has_counter=False))
     client, request = submit(harness)
     harness.core.cancel(request)
     harness.run()
@@ -83,7 +83,7 @@
 def test_retry_decided_as_its_request_is_cancelled_does_not_stay_in_flight(cancels_attempts: bool) -> None:
     # The end of the retry was reported under the number of the first attempt.  Tenant, endpoint and limiter
     # then counted the retry as in flight forever, so that each such client lowered the concurrency limit.
-    harness = Backside(replace(SITE, has_counter=False, cancels_attempts=cancels_attempts))
+    harness = CoreHarness(replace(LIMITER_SETTINGS, has_counter=False, cancels_attempts=cancels_attempts))
     client, request = submit(harness)
     harness.run()
     harness.due.clear()
@@ -99,7 +99,7 @@
 
 
 def test_request_with_an_attempt_in_flight_is_answered_before_its_deadline() -> None:
-    harness = Backside(replace(SITE, has_counter=False))
+    harness = CoreHarness(replace(LIMITER_SETTINGS, has_counter=False))
     client, request = submit(harness, class_index=1, expires_in_ms=3000.0)
     harness.run()
     harness.due.clear()  # the backend does not respond
@@ -111,7 +111,7 @@
 
 def test_request_without_a_decision_fails_at_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     # Every request gets one final answer, even if the decision module returns no actions for it.
-    harness = Backside()
+    harness = CoreHarness()
     monkeypatch.setattr(harness.core.limiter, "handle_all", lambda now, events: [])
     client, _ = submit(harness, expires_in_ms=500.0)
     harness.run(600.0)
@@ -119,7 +119,7 @@
 
 
 def test_open_requests_are_bounded() -> None:
-    harness = Backside()
+    harness = CoreHarness()
     harness.core.limits = CoreLimits(max_open_requests=3)
     clients = [submit(harness, units=6.0)[0] for _ in range(10)]
     assert len(harness.core.open_requests) == 10  # the others are rejected only in the next turn
@@ -130,7 +130,7 @@
 
 
 def test_second_report_of_the_end_of_an_attempt_is_ignored() -> None:
-    harness = Backside(replace(SITE, has_counter=False))
+    harness = CoreHarness(replace(LIMITER_SETTINGS, has_counter=False))
     client, request = submit(harness)
     harness.run()
     for _ in range(2):
@@ -153,7 +153,7 @@
 def test_true_units_settle_a_request_where_the_settings_say_so(
     settles_true_units: bool, reported_units: float, settled_units: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    harness = Backside(replace(SITE, has_counter=False, settles_true_units=settles_true_units))
+    harness = CoreHarness(replace(LIMITER_SETTINGS, has_counter=False, settles_true_units=settles_true_units))
     ended_attempts: list[AttemptEnded] = []
     handle_all = harness.core.limiter.handle_all
 
@@ -169,7 +169,7 @@
 
 
 def test_failed_attempt_settles_no_units() -> None:
-    harness = Backside(replace(SITE, has_counter=False, settles_true_units=True))
+    harness = CoreHarness(replace(LIMITER_SETTINGS, has_counter=False, settles_true_units=True))
     _, request = submit(harness, units=1.0)
     harness.run()
     units_before = harness.core.limiter.estimates.units
--- a/tests/test_evening.py
+++ b/tests/test_evening.py
@@ -12,22 +12,22 @@
 import grpc
 import pytest
 from google.rpc import code_pb2
-from standin import KEYED, SAFE, SITE, Backside
+from standin import IDEMPOTENT_CLASS, KEYED_CLASS, LIMITER_SETTINGS, CoreHarness
 from twisted.internet import asyncioreactor
 
 from scalelb.policy.settings import Plan
 from scalelb.transport.authz import external_auth_pb2 as pb
 from scalelb.transport.authz.front import Authorization, GrpcFront
-from scalelb.transport.session import Door
+from scalelb.transport.session import RespListener
 
 EVENING = Path(__file__).parent / "evening.csv"
-KINDS = {"fetch-cards": SAFE.priority_weight, "record-answer": KEYED.priority_weight}
+KINDS = {"fetch-cards": IDEMPOTENT_CLASS.priority_weight, "record-answer": KEYED_CLASS.priority_weight}
 PLANS = {
     "basic": Plan(rate_per_s=1.8, burst=12.0, price=0.72),
     "standard": Plan(rate_per_s=4.7, burst=19.0, price=1.3),
     "campus": Plan(rate_per_s=17.0, burst=36.0, max_concurrent_attempts=7, price=1.6),
 }
-EVENING_SITE = replace(SITE, plans=tuple(PLANS.values()), max_units=6.0)
+EVENING_SITE = replace(LIMITER_SETTINGS, plans=tuple(PLANS.values()), max_units=6.0)
 Row = dict[str, str]
 
 
@@ -36,16 +36,16 @@
         return list(csv.DictReader(file))
 
 
-async def arrived(back: Backside, count: int) -> None:
+async def arrived(back: CoreHarness, count: int) -> None:
     while back.core.open_requests.last_id < count:
         await asyncio.sleep(0)
 
 
-async def by_resp(back: Backside, evening: list[Row]) -> list[bool]:
+async def by_resp(back: CoreHarness, evening: list[Row]) -> list[bool]:
     """A connection for each request, as a front with many clients would have."""
     reactor: Any = asyncioreactor.AsyncioSelectorReactor(asyncio.get_running_loop())
     reactor.startRunning(installSignalHandlers=False)
-    door = Door(back.core, list(KINDS), list(PLANS), lambda: True, lambda *_, **__: None, 10_000)
+    door = RespListener(back.core, list(KINDS), list(PLANS), lambda: True, lambda *_, **__: None, 10_000)
     port = reactor.listenTCP(0, door, interface="127.0.0.1")
 
     async def ask(number: int, row: Row) -> bool:
@@ -67,7 +67,7 @@
     return answers
 
 
-async def by_grpc(back: Backside, evening: list[Row]) -> list[bool]:
+async def by_grpc(back: CoreHarness, evening: list[Row]) -> list[bool]:
     """All on one channel, as a limiter does."""
     front = GrpcFront(
         Authorization(back.core, KINDS, PLANS, lambda: True, print), "127.0.0.1:0", "", lambda *_, **__: None
@@ -101,7 +101,7 @@
     return answers
 
 
-async def replay(back: Backside, evening: list[Row], ask: Any) -> list[bool]:
+async def replay(back: CoreHarness, evening: list[Row], ask: Any) -> list[bool]:
     """Each request at its time on the limiter's clock, in order."""
     began, asked = back.now, []
     for number, row in enumerate(evening, 1):
@@ -117,7 +117,7 @@
 def test_both_doors_let_the_same_worth_go(counter: bool) -> None:
     evening, worth = rows(), []
     for door in (by_resp, by_grpc):
-        back = Backside(replace(EVENING_SITE, has_counter=counter))
+        back = CoreHarness(replace(EVENING_SITE, has_counter=counter))
         admitted: Tally[str] = Tally()
         for row, let in zip(evening, asyncio.run(door(back, evening)), strict=True):
             admitted[row["customer"]] += (
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -9,7 +9,7 @@
 
 import httpx
 import pytest
-from standin import KINDS, PLANS, SITE
+from standin import CLASS_NAMES, LIMITER_SETTINGS, PLAN_NAMES
 from starlette.applications import Starlette
 from starlette.requests import Request
 from starlette.responses import PlainTextResponse
@@ -26,10 +26,10 @@
     def __init__(self, **fields: Any) -> None:
         self.now, self.served = 1e6, 0
         self.added: list[tuple[int, float]] = []
-        settings = replace(SITE, **({"has_counter": False, "limiter_count": 3} | fields))
+        settings = replace(LIMITER_SETTINGS, **({"has_counter": False, "limiter_count": 3} | fields))
         self.host = Host(settings, 1, self.add, lambda: self.now)
         inner = Starlette(routes=[Route("/cards", self.cards, methods=["GET", "POST"])])
-        self.app = LimiterMiddleware(inner, self.host, KINDS, PLANS)
+        self.app = LimiterMiddleware(inner, self.host, CLASS_NAMES, PLAN_NAMES)
 
     async def add(self, name: int, amount: float, keep_ms: float) -> float:
         self.added.append((name, amount))
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -18,7 +18,7 @@
 from scalelb.policy.events import EndpointsListed
 from scalelb.policy.handover import apply_handover, export_handover
 from scalelb.policy.settings import Plan
-from scalelb.transport.admin import CALLERS_MOST, AdminDoor
+from scalelb.transport.admin import MAX_CLIENTS, AdminListener
 
 FLOWS = {
     "a long value is passed on while it comes": """
@@ -173,7 +173,7 @@
 class Caller:
     """A call at the operators' door, in memory."""
 
-    def __init__(self, stage: Harness, door: AdminDoor, text: bytes = b"") -> None:
+    def __init__(self, stage: Harness, door: AdminListener, text: bytes = b"") -> None:
         self.wire: Any = stage.net.connect("admin", door)
         if text:
             self.wire.protocol.dataReceived(text)
@@ -211,26 +211,26 @@
 )
 def test_the_door_answers_each_call_once_and_ends_it(text: bytes, status: int) -> None:
     stage = Harness()
-    door = AdminDoor(stage.net, stage.program, stage.log)
+    door = AdminListener(stage.net, stage.program, stage.log)
     caller = Caller(stage, door, text)
     assert caller.status == status
     assert caller.wire.value().count(b"HTTP/1.1") == (status > 0)
     assert caller.wire.ended is (status > 0)
     stage.wait(5100)
     assert caller.wire.ended
-    assert not door.callers
-    assert door.calls == {status: 1}  # counted, for the log
+    assert not door.clients
+    assert door.answer_counts == {status: 1}  # counted, for the log
     stage.run("client send {call(1)}")
     assert ("backend" in stage.net.wires) is (b"/s0/maint" not in text or status != 200)
 
 
 def test_callers_that_say_nothing_make_room_for_one_who_asks() -> None:
     stage = Harness()
-    door = AdminDoor(stage.net, stage.program, stage.log)
-    silent = [Caller(stage, door) for _ in range(3 * CALLERS_MOST)]
-    assert len(door.callers) == CALLERS_MOST
+    door = AdminListener(stage.net, stage.program, stage.log)
+    silent = [Caller(stage, door) for _ in range(3 * MAX_CLIENTS)]
+    assert len(door.clients) == MAX_CLIENTS
     assert Caller(stage, door, calls("GET", "/healthcheck")).status == 200
-    assert sum(not caller.wire.ended for caller in silent) == CALLERS_MOST - 1
+    assert sum(not caller.wire.ended for caller in silent) == MAX_CLIENTS - 1
 
 
 words = st.dictionaries(
@@ -312,10 +312,10 @@
     # Guards the memory: many large values at once to clients that take nothing.
     stage = Harness(backends=3)
     door = stage.program.door
-    door.ahead_most = 1_000_000
+    door.max_read_ahead_bytes = 1_000_000
     for number in range(1, 13):
         stage.run(f"client{number} send {{call({number}, swap=('0000ad', '00{number:02}ad'))}}")
-        stage.wire(f"client{number}").protocol.flushed = False  # the kernel takes no more
+        stage.wire(f"client{number}").protocol.is_flushed = False  # the kernel takes no more
     fed = [wire for name, wires in stage.net.wires.items() if name.startswith("backend") for wire in wires]
     for wire in fed:
         wire.protocol.dataReceived(b"*3\r\n$4000000\r\n")
@@ -324,12 +324,12 @@
             if wire.producerState != "paused":
                 wire.protocol.dataReceived(b"v" * 40_000)
     assert len(fed) == 12
-    assert 1_000_000 <= door.ahead <= 1_000_000 + 12 * 40_000
+    assert 1_000_000 <= door.read_ahead_bytes <= 1_000_000 + 12 * 40_000
     assert all(wire.producerState == "paused" for wire in fed)
     for session in list(door.sessions):
-        session.flushed = True
-        session.drained()
-    assert door.ahead == 0
+        session.is_flushed = True
+        session.on_flushed()
+    assert door.read_ahead_bytes == 0
     assert all(wire.producerState != "paused" for wire in fed)
 
 
