--- a/scalelb/transport/authz/__init__.py
+++ b/scalelb/transport/authz/__init__.py
@@ -1,4 +1,4 @@
-"""External authorization over gRPC: `envoy.service.auth.v3.Authorization/Check`, and gRPC health.
+"""External authorization over gRPC: `envoy.service.auth.v3.Authorization/Check`, and gRPC health checks.
 
-Needs the extra `grpc`; imported only when one of its addresses is configured.
+Requires the extra `grpc`; imported only if one of its addresses is configured.
 """
--- a/scalelb/transport/authz/front.py
+++ b/scalelb/transport/authz/front.py
@@ -93,28 +93,30 @@
     async def check(self, request: pb.CheckRequest, context: Any) -> pb.CheckResponse:
         """Answer a call by its deadline, or that of the request class if that is earlier."""
         try:
-            asked = headers.read_headers(read_attributes(request), self.class_indexes, self.plan_indexes)
+            request_headers = headers.read_headers(
+                read_attributes(request), self.class_indexes, self.plan_indexes
+            )
         except MalformedError as error:
             await self.malformed(context, str(error))
             raise
         if not self.is_ready():
             return _denied(code_pb2.UNAVAILABLE, 503, "failed: not ready")
-        expires_in_ms = self.core.settings.request_classes[asked.kind].deadline_ms
-        if asked.expires_ms is not None:
-            expires_in_ms = min(expires_in_ms, asked.expires_ms)
+        expires_in_ms = self.core.settings.request_classes[request_headers.kind].deadline_ms
+        if request_headers.expires_ms is not None:
+            expires_in_ms = min(expires_in_ms, request_headers.expires_ms)
         if (remaining_s := context.time_remaining()) is not None:
             expires_in_ms = min(expires_in_ms, 1000.0 * remaining_s)
         incoming = IncomingRequest(
-            tenant=asked.customer,
-            plan_index=asked.plan,
-            class_index=asked.kind,
+            tenant=request_headers.customer,
+            plan_index=request_headers.plan,
+            class_index=request_headers.kind,
             expires_in_ms=expires_in_ms,
-            units=asked.units,
-            sharing_limiters=asked.spread,
-            first_limiter=asked.first,
-            is_retry=asked.retry,
+            units=request_headers.units,
+            sharing_limiters=request_headers.spread,
+            first_limiter=request_headers.first,
+            is_retry=request_headers.retry,
             listener=LISTENER_INDEX,
-            idempotency_key=asked.key,
+            idempotency_key=request_headers.key,
             client_address=_peer_host(context.peer()),
         )
         try:
--- a/scalelb/transport/session.py
+++ b/scalelb/transport/session.py
@@ -441,22 +441,30 @@
         that have been idle for longest.
         """
         now = self.clock()
-        ended = [s for s in self.sessions if s.is_input_ended and not (s.answers or s.is_closing)]
+        ended = [
+            candidate
+            for candidate in self.sessions
+            if candidate.is_input_ended and not (candidate.answers or candidate.is_closing)
+        ]
         # Well-behaved clients send a request as soon as they connect, and their connections are idle for less
         # than this. They must not wait behind connections that send nothing, or stay open after one request.
         grace_ms, idle_ms = NEW_SESSION_GRACE_MS[self.is_full], EVICTION_IDLE_MS[self.is_full]
         without_command = [
-            s
-            for s in self.sessions
-            if not s.has_received_command and not s.is_input_ended and now - s.active_at > grace_ms
+            candidate
+            for candidate in self.sessions
+            if not candidate.has_received_command
+            and not candidate.is_input_ended
+            and now - candidate.active_at > grace_ms
         ]
         idle = [
-            s
-            for s in self.sessions
-            if s.has_received_command and not s.is_input_ended and now - s.active_at > idle_ms
+            candidate
+            for candidate in self.sessions
+            if candidate.has_received_command
+            and not candidate.is_input_ended
+            and now - candidate.active_at > idle_ms
         ]
         evicted_count = 0
-        for session in ended + without_command + sorted(idle, key=lambda s: s.active_at):
+        for session in ended + without_command + sorted(idle, key=lambda candidate: candidate.active_at):
             if evicted_count >= max_count:
                 break
             if session.is_input_ended:
@@ -469,10 +477,10 @@
         return evicted_count
 
     def sweep(self) -> None:
-        """End sessions that send nothing or only part of a command, or that don't read their answers."""
+        """End sessions that time out, and evict idle ones above the high watermark."""
         now, count = self.clock(), len(self.sessions)
-        # Well-behaved clients hold a limited number of connections. Those that stay open after one request
-        # would leave none for further requests, long before this listener is full.
+        # Well-behaved clients hold a limited number of connections. If those that are idle after one request
+        # stayed open, none would be left for further requests, long before this listener is full.
         usage_ratio = (
             sum(s.has_received_command and not s.is_input_ended for s in self.sessions)
             / self.expected_connections
@@ -553,9 +561,9 @@
         self.close_idle_sessions()
 
     def accept_waiting(self) -> None:
-        """Accept the connections that wait in the kernel: stopping to listen would reset them.
+        """Accept the connections that wait in the kernel, which would be reset when the port is closed.
 
-        Their clients have connected and may have sent a request already.
+        Their clients may have sent a request already.
         """
         count_before = -1
         while count_before < len(self.sessions) < self.max_sessions + SPARE_SESSIONS:
@@ -563,7 +571,7 @@
             self.port.doRead()
 
     def close_idle_sessions(self) -> None:
-        """Close sessions without a pending answer; called repeatedly while the listener closes.
+        """Close idle sessions, and half-closed ones after their timeout; called repeatedly during shutdown.
 
         A session that has just connected is left open, as its client is about to send a request.
         """
