--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -22,10 +22,10 @@
 from scalelb.program.loop import Loop, unix_clock
 from scalelb.program.predecessor import Incarnation
 from scalelb.protocol.agentcheck import Status
-from scalelb.transport.admin import AdminDoor
+from scalelb.transport.admin import AdminListener
 from scalelb.transport.director import DirectorWatch
-from scalelb.transport.pace import Pace
-from scalelb.transport.session import Door
+from scalelb.transport.pace import PollBackoff
+from scalelb.transport.session import RespListener
 from scalelb.transport.status import StatusFactory
 from scalelb.transport.stream import Log, host_port
 
@@ -65,17 +65,17 @@
         self.asyncio_loop: Any = getattr(reactor, "_asyncioEventloop", None)
         self.grpc: GrpcFront | None = None
         self.ports: dict[str, Any] = {}
-        self.listener = Door(
+        self.listener = RespListener(
             self.loop.core,
             list(config.kinds),
             list(config.plans),
             self.ready,
             log,
-            sessions_most=config.max_sessions,
-            held_most=config.max_open_request_bytes,
-            ahead_most=config.max_read_ahead_bytes,
-            clients_most=config.sockets // 3,
-            keyed=bool(fronts.external_authorization),
+            max_sessions=config.max_sessions,
+            max_open_request_bytes=config.max_open_request_bytes,
+            max_read_ahead_bytes=config.max_read_ahead_bytes,
+            expected_connections=config.sockets // 3,
+            has_other_listener=bool(fronts.external_authorization),
             metrics=self.loop.metrics,
         )
         self.incarnation: Incarnation | None = None  # None without a folder shared with other incarnations
@@ -91,7 +91,7 @@
             self.peer_connections = PeerConnections(reactor, self.loop, config.name, config.peers, self.log)
         # Reactor time at which the wait for the predecessor's handover began; 0: there is none.
         self.waiting_since_s = 0.0
-        self.admin: AdminDoor | None = None
+        self.admin: AdminListener | None = None
         if fronts.external_authorization or fronts.grpc_health:
             from scalelb.transport.authz.front import Authorization, GrpcFront
 
@@ -100,7 +100,7 @@
         max_silence_ms = (
             config.settings.discovery_silence_ms if config.settings.subscribes_to_endpoints else 0.0
         )
-        pace = Pace(config.settings.limiter_count, Random(f"director {config.seed}"), max_silence_ms)
+        pace = PollBackoff(config.settings.limiter_count, Random(f"director {config.seed}"), max_silence_ms)
         self.discovery = DirectorWatch(
             reactor, config.director, config.generation, self.on_endpoint_list, log, pace
         )
@@ -123,14 +123,14 @@
             self.listen_for_peers()
         if self.config.admin:
             host, port = host_port(self.config.admin)
-            self.admin = AdminDoor(self.reactor, self, self.log)
+            self.admin = AdminListener(self.reactor, self, self.log)
             self.ports["admin"] = self.reactor.listenTCP(port, self.admin, BACKLOG, host)
         fronts = self.config.fronts
         for name, address in (("agent_check", fronts.agent_check), ("http_health", fronts.http_health)):
             if address:
                 host, port = host_port(address)
                 factory = StatusFactory(
-                    self.reactor, self.health_status, self.log, agent=name == "agent_check"
+                    self.reactor, self.health_status, self.log, is_agent_check=name == "agent_check"
                 )
                 self.ports[name] = self.reactor.listenTCP(port, factory, BACKLOG, host)
         bound_ports = {name: port.getHost().port for name, port in self.ports.items()}
@@ -169,7 +169,7 @@
         While the predecessor serves, the unspent units belong to it: otherwise both would spend them."""
         incarnation = self.incarnation
         assert incarnation is not None
-        if self.listener.closing:
+        if self.listener.is_closing:
             return
         # Checked before the handover is read: the predecessor may write it and end in between.
         predecessor_runs = incarnation.predecessor_is_running()
@@ -204,7 +204,7 @@
 
     def scale_connection_limits(self, ratio: float) -> None:
         """Limit sessions and backend connections to `ratio` of what is configured."""
-        self.listener.sessions_most = max(1, int(ratio * self.config.max_sessions))
+        self.listener.max_sessions = max(1, int(ratio * self.config.max_sessions))
         max_connections = max(1, int(ratio * self.config.max_backend_connections))
         self.loop.pool.limits = replace(self.loop.pool.limits, connections=max_connections)
 
@@ -327,7 +327,7 @@
         """Change the status, and publish it through gRPC health."""
         self.status = status
         if self.grpc is not None:
-            self.start_task(self.grpc.tell(status))
+            self.start_task(self.grpc.set_status(status))
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> Any:
         """Start a coroutine on the asyncio event loop; an exception in it is logged."""
@@ -353,7 +353,7 @@
                 self.merge_overrides()
         finally:
             self.reactor.callLater(
-                FULL_SWEEP_INTERVAL_S if self.listener.full else SWEEP_INTERVAL_S, self.sweep
+                FULL_SWEEP_INTERVAL_S if self.listener.is_full else SWEEP_INTERVAL_S, self.sweep
             )
 
     def log_tally(self) -> None:
@@ -379,7 +379,11 @@
             counts=dict(sorted(counts.items())),
             **(core.queue_adapter.queue.log_fields() if core.queue_adapter is not None else {}),
             **(self.peer_connections.log_fields() if self.peer_connections is not None else {}),
-            **({"admin": {str(s): n for s, n in self.admin.calls.items()}} if self.admin is not None else {}),
+            **(
+                {"admin": {str(s): n for s, n in self.admin.answer_counts.items()}}
+                if self.admin is not None
+                else {}
+            ),
         )
         self.cpu_s = cpu_s
 
@@ -426,7 +430,7 @@
 
     def finish(self) -> None:
         """Stop accepting clients, and end once every request is answered."""
-        self.listener.shut(shared=self.config.inherited is not None)
+        self.listener.close(is_shared=self.config.inherited is not None)
         if self.grpc is not None:
             self.start_task(self.grpc.stop(self.kill_after_s() - SHUTDOWN_GRACE_S))
         self.wait_until_idle()
@@ -434,7 +438,7 @@
     def wait_until_idle(self) -> None:
         """Stop the reactor once every session has its answers and the decision module has processed the end
         of every attempt; until then, check again and again."""
-        self.listener.shut_on()
+        self.listener.close_idle_sessions()
         core = self.loop.core
         has_pending_ends = bool(core.inbox and core.limiter.attempts)
         if self.listener.sessions or self.tasks or has_pending_ends:
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -19,8 +19,8 @@
 from scalelb.program.config import Config, ConfigError, parse_endpoint
 from scalelb.transport.counter import CounterClient
 from scalelb.transport.fetch import AttemptResult, BackendConnection, Fetch, Piece, Pool, PoolLimits
-from scalelb.transport.session import Held
-from scalelb.transport.stream import Delay, Log, Reactor
+from scalelb.transport.session import RequestPayload
+from scalelb.transport.stream import DelayedCall, Log, Reactor
 
 
 def unix_clock() -> Callable[[], float]:
@@ -53,7 +53,7 @@
             self.counter = CounterClient(
                 reactor, clock, config.counter, timeout, self.core.counter_replied, log
             )
-        self.wake_timer: Delay | None = None
+        self.wake_timer: DelayedCall | None = None
         self.wake_timer_at = 0.0
         self.addresses: dict[str, str] = {}
         self.overrides = EndpointOverrides()
@@ -68,19 +68,19 @@
 
     def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
         """Start an attempt on a pooled connection."""
-        held_request: Held = request.payload
+        held_request: RequestPayload = request.payload
         attempt_number = request.attempt_number
         session: Any = request.caller
 
         def on_value_begun(connection: BackendConnection) -> Piece:
             self.core.first_byte_forwarded(request)
-            session.begin(held_request.answer, connection)
-            return lambda data: session.piece(held_request.answer, data)
+            session.begin_value(held_request.answer, connection)
+            return lambda data: session.send_piece(held_request.answer, data)
 
         def on_attempt_ended(result: AttemptResult) -> None:
             if request.in_flight and request.attempt_number == attempt_number:
                 if request.first_byte_at and result.outcome is not Outcome.OK and not request.is_finished:
-                    session.broken(held_request.answer, request)
+                    session.fail_value(held_request.answer, request)
                 usage = result.usage
                 self.core.attempt_ended(
                     request, result.outcome, result.value, result.report, usage.true_units, usage.used_percent
@@ -91,7 +91,7 @@
 
         def write_request() -> bytes | None:
             if (
-                not session.there()
+                not session.is_client_connected()
             ):  # A paused session is not read: only this check notices that it has ended.
                 session.abort()
                 self.core.cancel(request)
--- a/tests/test_authorization.py
+++ b/tests/test_authorization.py
@@ -11,7 +11,7 @@
 import pytest
 from google.rpc import code_pb2
 from grpc_health.v1 import health_pb2, health_pb2_grpc
-from standin import KINDS, PLANS, SITE, Backside, Counter
+from standin import CLASS_NAMES, LIMITER_SETTINGS, PLAN_NAMES, CoreHarness, InMemoryCounter
 
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.policy.settings import Plan
@@ -32,9 +32,9 @@
 class Gateway:
     """A gateway: a channel to a gRPC front end with a core of its own."""
 
-    def __init__(self, harness: Backside) -> None:
-        self.harness, self.logged = harness, []  # type: tuple[Backside, list[dict[str, Any]]]
-        check = Authorization(harness.core, KINDS, PLANS, lambda: True, self.log)
+    def __init__(self, harness: CoreHarness) -> None:
+        self.harness, self.logged = harness, []  # type: tuple[CoreHarness, list[dict[str, Any]]]
+        check = Authorization(harness.core, CLASS_NAMES, PLAN_NAMES, lambda: True, self.log)
         self.front_end = GrpcFront(check, "127.0.0.1:0", "", self.log)
 
     def log(self, event: str, **fields: Any) -> None:
@@ -69,9 +69,9 @@
         return response
 
 
-def run_scenario(scenario: Callable[[Gateway], Awaitable[None]], harness: Backside | None = None) -> None:
+def run_scenario(scenario: Callable[[Gateway], Awaitable[None]], harness: CoreHarness | None = None) -> None:
     async def run() -> None:
-        async with Gateway(harness or Backside()) as gateway:
+        async with Gateway(harness or CoreHarness()) as gateway:
             await asyncio.wait_for(scenario(gateway), 60)
 
     asyncio.run(run())
@@ -101,7 +101,7 @@
         assert int(headers["retry-after"]) >= 1
         assert 0 < int(headers["x-retry-after-ms"]) <= 1000
 
-    run_scenario(scenario, Backside(replace(SITE, has_counter=False)))
+    run_scenario(scenario, CoreHarness(replace(LIMITER_SETTINGS, has_counter=False)))
 
 
 @pytest.mark.parametrize(
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("is_unresponsive", [False, True], ids=["counter answers", "counter unresponsive"])
 def test_call_cancelled_while_queued_is_charged_nothing(is_unresponsive: bool) -> None:
     async def scenario(gateway: Gateway) -> None:
-        gateway.harness.counter.silent = is_unresponsive
+        gateway.harness.counter.is_unresponsive = is_unresponsive
         await use_up_quota(gateway)
         tenant = gateway.harness.core.limiter.tenants.tenants[TENANT_ID]
         counter_calls, balances = (
@@ -198,7 +198,7 @@
         gateway.harness.run(5000.0)
         assert not gateway.harness.core.open_requests
 
-    run_scenario(scenario, Backside(replace(SITE, limiter_count=3), Counter()))
+    run_scenario(scenario, CoreHarness(replace(LIMITER_SETTINGS, limiter_count=3), InMemoryCounter()))
 
 
 def test_call_cancelled_after_the_decision_is_charged_in_full() -> None:
@@ -232,7 +232,7 @@
         assert await gateway.queued_call  # type: ignore[attr-defined]
         assert not gateway.harness.core.open_requests
 
-    run_scenario(scenario, Backside(replace(SITE, has_counter=False, limiter_count=3)))
+    run_scenario(scenario, CoreHarness(replace(LIMITER_SETTINGS, has_counter=False, limiter_count=3)))
 
 
 def test_grpc_deadline_ends_a_queued_call() -> None:
@@ -247,12 +247,12 @@
         assert await gateway.queued_call  # type: ignore[attr-defined]
         assert not gateway.harness.core.open_requests
 
-    run_scenario(scenario, Backside(replace(SITE, has_counter=False, limiter_count=3)))
+    run_scenario(scenario, CoreHarness(replace(LIMITER_SETTINGS, has_counter=False, limiter_count=3)))
 
 
 def test_requests_are_admitted_while_the_counter_is_unresponsive() -> None:
     async def scenario(gateway: Gateway) -> None:
-        gateway.harness.counter.silent = True
+        gateway.harness.counter.is_unresponsive = True
         for _ in range(12):
             await gateway.check(1000.0, x_quota="units=6")
         counts = gateway.harness.core.counts
@@ -263,26 +263,26 @@
 
 
 def test_limiter_restarted_without_state_admits_requests() -> None:
-    counter = Counter()
+    counter = InMemoryCounter()
     for started_at in (1e6, 1e6 + 500.0):
-        harness = Backside(SITE, counter, started_at)
+        harness = CoreHarness(LIMITER_SETTINGS, counter, started_at)
 
         async def scenario(gateway: Gateway) -> None:
             assert (await gateway.check()).status.code == code_pb2.OK
             gateway.harness.run(100.0)
 
         run_scenario(scenario, harness)
-    assert sum(counter.numbers.values()) <= 2 * 16.0
+    assert sum(counter.totals.values()) <= 2 * 16.0
 
 
 def test_graceful_shutdown_shows_in_health_checks_and_finishes_open_calls() -> None:
     async def scenario(gateway: Gateway) -> None:
         stub = health_pb2_grpc.HealthStub(gateway.channel)
-        await gateway.front_end.tell(Status.READY)
+        await gateway.front_end.set_status(Status.READY)
         health_request = health_pb2.HealthCheckRequest(service="envoy.service.auth.v3.Authorization")
         assert (await stub.Check(health_request)).status == health_pb2.HealthCheckResponse.SERVING
         await use_up_quota(gateway)
-        await gateway.front_end.tell(Status.DRAINING)
+        await gateway.front_end.set_status(Status.DRAINING)
         assert (await stub.Check(health_request)).status == health_pb2.HealthCheckResponse.NOT_SERVING
         stopping = asyncio.ensure_future(gateway.front_end.stop(30.0))
         await asyncio.sleep(0.01)
@@ -291,7 +291,7 @@
         assert response.WhichOneof("http_response")
         await stopping
 
-    run_scenario(scenario, Backside(replace(SITE, has_counter=False, limiter_count=3)))
+    run_scenario(scenario, CoreHarness(replace(LIMITER_SETTINGS, has_counter=False, limiter_count=3)))
 
 
 @pytest.mark.parametrize(
@@ -312,10 +312,10 @@
         charged = tenant.bucket.capacity() / tenant.bucket.sharing_limiters - tenant.bucket.balance
         assert charged == 2.0 * charged_requests
 
-    run_scenario(scenario, Backside(replace(SITE, plans=(Plan(rate_per_s=4.0, burst=100.0),))))
+    run_scenario(scenario, CoreHarness(replace(LIMITER_SETTINGS, plans=(Plan(rate_per_s=4.0, burst=100.0),))))
 
 
-def submit_through_platform_listener(harness: Backside, key: str) -> None:
+def submit_through_platform_listener(harness: CoreHarness, key: str) -> None:
     class Client:
         def on_answer(self, *_: Any) -> None: ...
 
--- a/tests/test_listeners_agree.py
+++ b/tests/test_listeners_agree.py
@@ -15,22 +15,25 @@
 import grpc
 import pytest
 from google.rpc import code_pb2
-from standin import KEYED, SAFE, SITE, Backside
+from standin import IDEMPOTENT_CLASS, KEYED_CLASS, LIMITER_SETTINGS, CoreHarness
 from twisted.internet import asyncioreactor
 
 from scalelb.policy.settings import Plan
 from scalelb.transport.authz import external_auth_pb2 as pb
 from scalelb.transport.authz.front import Authorization, GrpcFront
-from scalelb.transport.session import Door
+from scalelb.transport.session import RespListener
 
 RECORDED_EVENING = Path(__file__).parent / "evening.csv"
-CLASS_WEIGHTS = {"fetch-cards": SAFE.priority_weight, "record-answer": KEYED.priority_weight}
+CLASS_WEIGHTS = {
+    "fetch-cards": IDEMPOTENT_CLASS.priority_weight,
+    "record-answer": KEYED_CLASS.priority_weight,
+}
 PLANS = {
     "basic": Plan(rate_per_s=1.8, burst=12.0, price=0.72),
     "standard": Plan(rate_per_s=4.7, burst=19.0, price=1.3),
     "campus": Plan(rate_per_s=17.0, burst=36.0, max_concurrent_attempts=7, price=1.6),
 }
-SITE_SETTINGS = replace(SITE, plans=tuple(PLANS.values()), max_units=6.0)
+SITE_SETTINGS = replace(LIMITER_SETTINGS, plans=tuple(PLANS.values()), max_units=6.0)
 Row = dict[str, str]
 
 
@@ -39,16 +42,16 @@
         return list(csv.DictReader(file))
 
 
-async def wait_for_requests(harness: Backside, count: int) -> None:
+async def wait_for_requests(harness: CoreHarness, count: int) -> None:
     while harness.core.open_requests.last_id < count:
         await asyncio.sleep(0)
 
 
-async def replay_over_resp(harness: Backside, rows: list[Row]) -> list[bool]:
+async def replay_over_resp(harness: CoreHarness, rows: list[Row]) -> list[bool]:
     """Replay the rows with a connection for each request, as if each came from another client."""
     reactor: Any = asyncioreactor.AsyncioSelectorReactor(asyncio.get_running_loop())
     reactor.startRunning(installSignalHandlers=False)
-    listener = Door(
+    listener = RespListener(
         harness.core, list(CLASS_WEIGHTS), list(PLANS), lambda: True, lambda *_, **__: None, 10_000
     )
     port = reactor.listenTCP(0, listener, interface="127.0.0.1")
@@ -72,7 +75,7 @@
     return verdicts
 
 
-async def replay_over_grpc(harness: Backside, rows: list[Row]) -> list[bool]:
+async def replay_over_grpc(harness: CoreHarness, rows: list[Row]) -> list[bool]:
     """Replay the rows on one channel, as a gateway uses it."""
     front_end = GrpcFront(
         Authorization(harness.core, CLASS_WEIGHTS, PLANS, lambda: True, print),
@@ -109,7 +112,7 @@
     return verdicts
 
 
-async def replay(harness: Backside, rows: list[Row], send_request: Any) -> list[bool]:
+async def replay(harness: CoreHarness, rows: list[Row], send_request: Any) -> list[bool]:
     """Send each request at its time on the limiter's clock, in order; return whether each was admitted."""
     started_at, requests = harness.now, []
     for number, row in enumerate(rows, 1):
@@ -125,7 +128,7 @@
 def test_both_listeners_admit_the_same_value_for_each_tenant(has_counter: bool) -> None:
     rows, admitted_values = read_rows(), []
     for replay_rows in (replay_over_resp, replay_over_grpc):
-        harness = Backside(replace(SITE_SETTINGS, has_counter=has_counter))
+        harness = CoreHarness(replace(SITE_SETTINGS, has_counter=has_counter))
         admitted: Tally[str] = Tally()
         for row, is_admitted in zip(rows, asyncio.run(replay_rows(harness, rows)), strict=True):
             admitted[row["customer"]] += (
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -9,7 +9,7 @@
 
 import httpx
 import pytest
-from standin import KINDS, PLANS, SITE
+from standin import CLASS_NAMES, LIMITER_SETTINGS, PLAN_NAMES
 from starlette.applications import Starlette
 from starlette.requests import Request
 from starlette.responses import PlainTextResponse
@@ -26,10 +26,10 @@
     def __init__(self, **fields: Any) -> None:
         self.now, self.served_requests = 1e6, 0
         self.counter_calls: list[tuple[int, float]] = []
-        settings = replace(SITE, **({"has_counter": False, "limiter_count": 3} | fields))
+        settings = replace(LIMITER_SETTINGS, **({"has_counter": False, "limiter_count": 3} | fields))
         self.host = Host(settings, 1, self.add_to_counter, lambda: self.now)
         inner_app = Starlette(routes=[Route("/cards", self.handle_cards, methods=["GET", "POST"])])
-        self.app = LimiterMiddleware(inner_app, self.host, KINDS, PLANS)
+        self.app = LimiterMiddleware(inner_app, self.host, CLASS_NAMES, PLAN_NAMES)
 
     async def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> float:
         self.counter_calls.append((counter_key, amount))
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -18,7 +18,7 @@
 from scalelb.policy.events import EndpointsListed
 from scalelb.policy.handover import apply_handover, export_handover
 from scalelb.policy.settings import Plan
-from scalelb.transport.admin import CALLERS_MOST, AdminDoor
+from scalelb.transport.admin import MAX_CLIENTS, AdminListener
 
 FLOWS = {
     "a long value is forwarded while it is received": """
@@ -175,7 +175,7 @@
 class OperatorCall:
     """A call of the operator API, in memory."""
 
-    def __init__(self, stage: Harness, operator_api: AdminDoor, data: bytes = b"") -> None:
+    def __init__(self, stage: Harness, operator_api: AdminListener, data: bytes = b"") -> None:
         self.wire: Any = stage.net.connect("admin", operator_api)
         if data:
             self.wire.protocol.dataReceived(data)
@@ -213,26 +213,26 @@
 )
 def test_operator_api_answers_each_call_once_and_closes_the_connection(data: bytes, status: int) -> None:
     stage = Harness()
-    operator_api = AdminDoor(stage.net, stage.program, stage.log)
+    operator_api = AdminListener(stage.net, stage.program, stage.log)
     call = OperatorCall(stage, operator_api, data)
     assert call.status == status
     assert call.wire.value().count(b"HTTP/1.1") == (status > 0)
     assert call.wire.ended is (status > 0)
     stage.wait(5100)
     assert call.wire.ended
-    assert not operator_api.callers
-    assert operator_api.calls == {status: 1}  # for the tally log line
+    assert not operator_api.clients
+    assert operator_api.answer_counts == {status: 1}  # for the tally log line
     stage.run("client send {call(1)}")
     assert ("backend" in stage.net.wires) is (b"/s0/maint" not in data or status != 200)
 
 
 def test_idle_operator_connections_are_closed_for_a_caller_that_sends_a_request() -> None:
     stage = Harness()
-    operator_api = AdminDoor(stage.net, stage.program, stage.log)
-    idle_calls = [OperatorCall(stage, operator_api) for _ in range(3 * CALLERS_MOST)]
-    assert len(operator_api.callers) == CALLERS_MOST
+    operator_api = AdminListener(stage.net, stage.program, stage.log)
+    idle_calls = [OperatorCall(stage, operator_api) for _ in range(3 * MAX_CLIENTS)]
+    assert len(operator_api.clients) == MAX_CLIENTS
     assert OperatorCall(stage, operator_api, http_request("GET", "/healthcheck")).status == 200
-    assert sum(not call.wire.ended for call in idle_calls) == CALLERS_MOST - 1
+    assert sum(not call.wire.ended for call in idle_calls) == MAX_CLIENTS - 1
 
 
 override_copies = st.dictionaries(
@@ -316,10 +316,10 @@
     # Many large values at once, for clients that read nothing, must not exhaust the memory.
     stage = Harness(backends=3)
     listener = stage.program.listener
-    listener.ahead_most = 1_000_000
+    listener.max_read_ahead_bytes = 1_000_000
     for number in range(1, 13):
         stage.run(f"client{number} send {{call({number}, swap=('0000ad', '00{number:02}ad'))}}")
-        stage.wire(f"client{number}").protocol.flushed = False  # The kernel's send buffer is full.
+        stage.wire(f"client{number}").protocol.is_flushed = False  # The kernel's send buffer is full.
     backend_wires = [
         wire for name, wires in stage.net.wires.items() if name.startswith("backend") for wire in wires
     ]
@@ -330,12 +330,12 @@
             if wire.producerState != "paused":
                 wire.protocol.dataReceived(b"v" * 40_000)
     assert len(backend_wires) == 12
-    assert 1_000_000 <= listener.ahead <= 1_000_000 + 12 * 40_000
+    assert 1_000_000 <= listener.read_ahead_bytes <= 1_000_000 + 12 * 40_000
     assert all(wire.producerState == "paused" for wire in backend_wires)
     for session in list(listener.sessions):
-        session.flushed = True
-        session.drained()
-    assert listener.ahead == 0
+        session.is_flushed = True
+        session.on_flushed()
+    assert listener.read_ahead_bytes == 0
     assert all(wire.producerState != "paused" for wire in backend_wires)
 
 
