--- a/scalelb/lab/snapshot_transfer.py
+++ b/scalelb/lab/snapshot_transfer.py
@@ -112,8 +112,8 @@
 
     def tick(self) -> None:
         """The peer's replicator."""
-        for name, message in self.replicator.push(self.links.ready) + self.replicator.tick(
-            self.now(), self.links.ready
+        for name, message in self.replicator.push(self.links.is_ready) + self.replicator.tick(
+            self.now(), self.links.is_ready
         ):
             self.links.send(name, message)
         self.reactor.callLater(0.05, self.tick)
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -23,7 +23,7 @@
 from scalelb.program.predecessor import Incarnation
 from scalelb.protocol.agentcheck import Status
 from scalelb.transport.admin import AdminDoor
-from scalelb.transport.director import DirectorWatch
+from scalelb.transport.director import DiscoveryClient
 from scalelb.transport.pace import Pace
 from scalelb.transport.session import Door
 from scalelb.transport.status import StatusFactory
@@ -93,7 +93,7 @@
             self.grpc = GrpcFront(check, fronts.external_authorization, fronts.grpc_health, log)
         asked = config.settings.discovery_silence_ms if config.settings.subscribes_to_endpoints else 0.0
         pace = Pace(config.settings.limiter_count, Random(f"director {config.seed}"), asked)
-        self.director = DirectorWatch(reactor, config.director, config.generation, self.told, log, pace)
+        self.director = DiscoveryClient(reactor, config.director, config.generation, self.told, log, pace)
         self.heard = False  # the director's word
         self.cpu = 0.0
         self.tasks: set[Any] = set()
@@ -191,7 +191,7 @@
         """Bound sessions and connections to a part of what is configured."""
         self.door.sessions_most = max(1, int(part * self.config.sessions_most))
         most = max(1, int(part * self.config.connections_most))
-        self.loop.pool.limits = replace(self.loop.pool.limits, connections=most)
+        self.loop.pool.limits = replace(self.loop.pool.limits, max_connections=most)
 
     def hand_over(self) -> None:
         """A successor serves: take nothing new, leave it what is on hand, finish the rest."""
@@ -201,7 +201,7 @@
         self.incarnation.hand_over(account)
         if self.links is not None:
             self.links.stop()  # the successor binds its address
-        self.loop.pool.rest_no_longer()
+        self.loop.pool.close_idle_connections()
         self.halve()
         self.log("relieved", customers=len(account["customers"]), open=len(self.loop.core.open_requests))
         self.finish()
@@ -276,7 +276,7 @@
         if self.config.known:
             self.loop.told(self.config.generation or 0, True, self.config.known)
             self.reactor.callLater(KNOWN_S, self.set_ready)
-        self.director.begin()
+        self.director.start()
         self.reactor.callLater(SWEEP_S, self.sweep)
         self.reactor.callLater(TALLY_S, self.tell)
 
@@ -346,10 +346,10 @@
             cpu_ms=round(1000 * (cpu - self.cpu), 1),
             memory_mb=round(used.ru_maxrss / 1024, 1),
             sessions=len(self.door.sessions),
-            connections=self.loop.pool.total,
+            connections=self.loop.pool.total_connections,
             open=len(core.open_requests),
             attempts=len(limiter.attempts),  # as the decisions have it,
-            fetches=self.loop.pool.fetching(),  # and as the sockets do
+            fetches=self.loop.pool.busy_connections(),  # and as the sockets do
             serving=[len(limiter.selector.endpoints), len(self.loop.pool.backends)],
             held=sum(len(t.queue.requests) for t in limiter.scheduler.active.values()),
             let_in=round(limiter.shedder.admission_probability, 3),
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -18,7 +18,14 @@
 from scalelb.policy.settings import IDLE_REUSE_RATIO
 from scalelb.program.config import Config, ConfigError, read_entry
 from scalelb.transport.counter import CounterClient
-from scalelb.transport.fetch import AttemptResult, BackendConnection, Fetch, Piece, Pool, PoolLimits
+from scalelb.transport.fetch import (
+    AttemptResult,
+    BackendConnection,
+    ConnectionPool,
+    OnPiece,
+    PoolLimits,
+    UpstreamAttempt,
+)
 from scalelb.transport.session import Held
 from scalelb.transport.stream import Delay, Log, Reactor
 
@@ -39,12 +46,12 @@
         self.core = Core(config.settings, config.seed, self, clock, limits, self.fault, door)
         each = max(1, config.connections_most // 4)
         pool = PoolLimits(
-            connections=config.connections_most,
-            each=each,
-            connect_ms=config.connect_timeout_ms,
-            idle_ms=IDLE_REUSE_RATIO * config.conn_idle_ms,
+            max_connections=config.connections_most,
+            max_connections_per_backend=each,
+            connect_timeout_ms=config.connect_timeout_ms,
+            idle_timeout_ms=IDLE_REUSE_RATIO * config.conn_idle_ms,
         )
-        self.pool = Pool(reactor, clock, log, pool)
+        self.pool = ConnectionPool(reactor, clock, log, pool)
         self.counter: CounterClient | None = None
         if config.counter:
             timeout = config.settings.counter_wait_ms
@@ -70,7 +77,7 @@
         attempt_number = request.attempt_number
         session: Any = request.caller
 
-        def begun(connection: BackendConnection) -> Piece:
+        def begun(connection: BackendConnection) -> OnPiece:
             self.core.first_byte_forwarded(request)
             session.begin(held.answer, connection)
             return lambda data: session.piece(held.answer, data)
@@ -98,23 +105,23 @@
         def left() -> None:
             self.metrics.attempts[class_index] += 1
 
-        fetch = self.pool.fetch(endpoint, write, ended, left=left, begun=begun)
-        if not fetch.done:
+        fetch = self.pool.start_attempt(endpoint, write, ended, on_sent=left, on_value_started=begun)
+        if not fetch.is_done:
             request.attempt_handle = fetch
 
     def abandon_attempt(self, request: OpenRequest) -> None:
         """Give up the attempt in flight."""
         fetch = request.attempt_handle
         request.attempt_handle = None
-        if isinstance(fetch, Fetch):
-            self.pool.drop(fetch)
+        if isinstance(fetch, UpstreamAttempt):
+            self.pool.abandon(fetch)
 
     def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
         """Call the counter."""
         if self.counter is None:
             self.core.counter_replied(counter_key, Outcome.CONNECT_FAILED, 0.0, 0.0)
         else:
-            self.counter.count(counter_key, amount, retention_ms)
+            self.counter.add(counter_key, amount, retention_ms)
 
     def check_health(self, endpoint: str) -> None:
         """Ask an endpoint for its load report."""
@@ -124,17 +131,19 @@
             elapsed_ms = self.clock() - started_at
             self.core.health_check_ended(endpoint, outcome, elapsed_ms, load_report)
 
-        self.pool.probe(endpoint, ended)
+        self.pool.check_health(endpoint, ended)
 
     def on_endpoints(self, endpoints: Iterable[Endpoint], is_complete: bool) -> None:
         """The endpoint list has changed: the pool follows."""
         changed = list(endpoints)
         for entry in changed:
             if entry.state is not EndpointState.REMOVED:
-                self.pool.name(entry.name, self.addresses[entry.name], entry.state is EndpointState.SERVING)
+                self.pool.update_backend(
+                    entry.name, self.addresses[entry.name], entry.state is EndpointState.SERVING
+                )
         removed = {entry.name for entry in changed if entry.state is EndpointState.REMOVED}
         listed = {entry.name for entry in changed} if is_complete else self.pool.backends.keys()
-        self.pool.keep(listed - removed)
+        self.pool.retain_backends(listed - removed)
 
     def wake_at(self, due_at: float) -> None:
         """Have the core take its turn at this time."""
--- a/scalelb/program/peer_connections.py
+++ b/scalelb/program/peer_connections.py
@@ -66,7 +66,7 @@
 
     def tick(self) -> None:
         """Dial the links that are due and send what is due, again and again."""
-        if self.links.closing:
+        if self.links.is_closing:
             return
         self.reactor.callLater(self.replicator.settings.push_ms / 1000, self.tick)
         started_s = time.thread_time()
@@ -76,13 +76,13 @@
             self.log_digest_once_stable()
         for name in self.replicator.links_to_dial(self.random.choice):
             self.links.dial(name)
-        for name, message in self.peering.tick(self.now(), self.links.ready):
+        for name, message in self.peering.tick(self.now(), self.links.is_ready):
             self.links.send(name, message)
         self.cpu_s += time.thread_time() - started_s
 
     def flush(self) -> None:
         """Send own writes now."""
-        for name, message in self.replicator.push(self.links.ready):
+        for name, message in self.replicator.push(self.links.is_ready):
             self.links.send(name, message)
 
     def log_digest_once_stable(self) -> None:
@@ -120,8 +120,8 @@
     def told(self) -> dict[str, Any]:
         """For the log."""
         told = {
-            "sent": self.links.sent,
-            "received": self.links.received,
+            "sent": self.links.bytes_sent,
+            "received": self.links.bytes_received,
             "cpu_ms": round(1000 * self.cpu_s, 1),
         }
         return {"peers": {**self.peering.status(self.now()), **told}}
--- a/scalelb/transport/counter.py
+++ b/scalelb/transport/counter.py
@@ -110,10 +110,10 @@
         self.at = host_port(address)
         self.timeout_ms, self.counted = timeout_ms, counted
         self.idle: list[CounterConnection] = []
-        self.open: set[CounterConnection] = set()
-        self.out: dict[Add, CounterConnection] = {}
+        self.connections: set[CounterConnection] = set()
+        self.calls_in_flight: dict[Add, CounterConnection] = {}
 
-    def count(self, name: int, amount: float, keep_ms: float) -> None:
+    def add(self, name: int, amount: float, keep_ms: float) -> None:
         """Add to a number; `counted` is told what became of it, in the end."""
         wire = http.counter_request(self.address, name, amount, keep_ms)
         add = Add(name, amount, keep_ms, wire, self.clock())
@@ -121,9 +121,9 @@
             self.idle.pop().abort()
         if self.idle:
             connection = self.idle.pop()
-            self.out[add] = connection
+            self.calls_in_flight[add] = connection
             connection.begin(add)
-        elif len(self.open) < CONNECTIONS_MOST:
+        elif len(self.connections) < CONNECTIONS_MOST:
             self.dial(add)
         else:  # guards the counter's table: nothing was written
             self.counted(name, Outcome.REJECTED, 0.0, 0.0)
@@ -133,8 +133,8 @@
     def dial(self, add: Add) -> None:
         """Open a connection for a call."""
         connection = CounterConnection(self, add)
-        self.open.add(connection)
-        self.out[add] = connection
+        self.connections.add(connection)
+        self.calls_in_flight[add] = connection
         dial(self.reactor, self.at, connection, connection.lost, 2 * LATE_MS)
 
     def move(self, address: str) -> None:
@@ -146,7 +146,7 @@
         idle, self.idle = self.idle, []
         for connection in idle:
             connection.close()
-        for add, connection in list(self.out.items()):
+        for add, connection in list(self.calls_in_flight.items()):
             if not connection.up:
                 connection.add = None
                 add.wire = http.counter_request(address, add.name, add.amount, add.keep_ms)
@@ -154,7 +154,7 @@
 
     def end(self, add: Add, outcome: Outcome, total: float) -> None:
         """A call has ended."""
-        if self.out.pop(add, None) is not None and not add.late:
+        if self.calls_in_flight.pop(add, None) is not None and not add.late:
             if add.timer is not None and add.timer.active():
                 add.timer.cancel()
             self.counted(add.name, outcome, total, self.clock() - add.began)
@@ -162,7 +162,7 @@
     def give_up(self, add: Add) -> None:
         """No answer in time.  One that was written may have been added; its connection carries nothing new
         until the late answer has come, and is closed if that takes too long."""
-        connection = self.out.pop(add, None)
+        connection = self.calls_in_flight.pop(add, None)
         if connection is None:
             return
         add.late = True
@@ -188,7 +188,7 @@
 
     def forget(self, connection: CounterConnection) -> None:
         """A connection has ended."""
-        self.open.discard(connection)
+        self.connections.discard(connection)
         self.unrest(connection)
 
     def unrest(self, connection: CounterConnection) -> None:
--- a/scalelb/transport/director.py
+++ b/scalelb/transport/director.py
@@ -23,7 +23,7 @@
 class DirectorConnection(Stream):
     """One connection to the director."""
 
-    def __init__(self, watch: DirectorWatch) -> None:
+    def __init__(self, watch: DiscoveryClient) -> None:
         self.watch = watch
         self.reader = http.ResponseReader()
 
@@ -52,7 +52,7 @@
         self.watch.again(self)
 
 
-class DirectorWatch:
+class DiscoveryClient:
     """Watches the list for as long as the program runs, whatever the director does."""
 
     def __init__(
@@ -75,12 +75,12 @@
         self.failed = False  # the last call brought no list: the next does not wait for a change
         self.rest_ms = REST_MS
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Connect and ask: at once for a first list, else when this one's turn has come."""
         wait = self.pace.first() if self.generation is not None else 0.0
-        self.due = self.reactor.callLater(wait / 1000, self.start)
+        self.due = self.reactor.callLater(wait / 1000, self.connect)
 
-    def start(self) -> None:
+    def connect(self) -> None:
         """Connect, and ask."""
         if self.stopped:
             return
@@ -142,7 +142,7 @@
             self._heard()
             self.failed = True
             self.connection = None
-            self.due = self.reactor.callLater(self.pace.pause() / 1000, self.start)
+            self.due = self.reactor.callLater(self.pace.pause() / 1000, self.connect)
 
     def move(self, address: str) -> None:
         """Watch at another address from now on.  Its versions may be others: the whole list is asked for, and
@@ -153,9 +153,9 @@
         self._heard()
         if self.due is not None and self.due.active():  # guards the new one against a pause from the old
             self.due.cancel()
-            self.start()
+            self.connect()
         elif (old := self.connection) is not None:
-            self.start()
+            self.connect()
             old.abort()
 
     def stop(self) -> None:
--- a/scalelb/transport/fetch.py
+++ b/scalelb/transport/fetch.py
@@ -12,7 +12,7 @@
 
 Left = Callable[[], None]
 Write = Callable[[], bytes | None]  # the bytes of a fetch, made as they are written; none: it is not wanted
-Piece = Callable[[bytes | memoryview], None]
+OnPiece = Callable[[bytes | memoryview], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,42 +36,48 @@
 class PoolLimits:
     """Bounds of the pool."""
 
-    connections: int = 400  # in all
-    each: int = 100  # to one backend
-    connect_ms: float = 250.0
-    idle_ms: float = 15_000.0  # before the backend would close it
+    max_connections: int = 400  # in all
+    max_connections_per_backend: int = 100  # to one backend
+    connect_timeout_ms: float = 250.0
+    idle_timeout_ms: float = 15_000.0  # before the backend would close it
 
 
-Begun = Callable[["BackendConnection"], Piece]
+Begun = Callable[["BackendConnection"], OnPiece]
 
 
-class Fetch:
+class UpstreamAttempt:
     """One attempt: what is to be written, and who is told how it ended."""
 
-    __slots__ = ("begun", "connection", "done", "ended", "left", "probe", "write")
+    __slots__ = ("connection", "ended", "is_done", "on_sent", "on_value_started", "probe", "write")
 
     def __init__(
         self,
         write: Write,
         ended: Ended,
         probe: bool = False,
-        left: Left | None = None,
-        begun: Begun | None = None,
+        on_sent: Left | None = None,
+        on_value_started: Begun | None = None,
     ) -> None:
-        self.write, self.ended, self.probe, self.left, self.begun = write, ended, probe, left, begun
+        self.write, self.ended, self.probe, self.on_sent, self.on_value_started = (
+            write,
+            ended,
+            probe,
+            on_sent,
+            on_value_started,
+        )
         self.connection: BackendConnection | None = None
-        self.done = False
+        self.is_done = False
 
     def written(self) -> None:
         """Its last byte is with the kernel: told once."""
-        left, self.left = self.left, None
+        left, self.on_sent = self.on_sent, None
         if left is not None:
             left()
 
     def end(self, result: AttemptResult) -> None:
         """Tell, once."""
-        if not self.done:
-            self.done = True
+        if not self.is_done:
+            self.is_done = True
             self.ended(result)
 
 
@@ -79,12 +85,12 @@
     """A connection to a backend.  It carries one fetch at a time: answers come in order, so a fetch written
     behind another would wait for it."""
 
-    def __init__(self, backend: Backend, fetch: Fetch | None) -> None:
+    def __init__(self, backend: Backend, fetch: UpstreamAttempt | None) -> None:
         self.backend, self.fetch = backend, fetch
         self.reader = resp.ReplyReader()
         self.up = self.written = False
         self.idle_at = 0.0
-        self.piece: Piece | None = None  # takes the value that flows
+        self.piece: OnPiece | None = None  # takes the value that flows
         self.heard_at = 0.0  # when the last of it came
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -95,9 +101,9 @@
         if self.fetch is None:
             self.backend.rest(self)
         else:
-            self.begin(self.fetch)
+            self.write_attempt(self.fetch)
 
-    def begin(self, fetch: Fetch) -> None:
+    def write_attempt(self, fetch: UpstreamAttempt) -> None:
         """Write a fetch, if it is still wanted.  Guards the rules that hold for the first byte: where it
         waited for its connection, the client may have left meanwhile, the time run out, the backend begun to
         drain, or the window of a repeat closed."""
@@ -143,11 +149,15 @@
             self.backend.rest(self)
         fetch.end(result)
 
-    def begin_value(self, fetch: Fetch) -> bool:
+    def begin_value(self, fetch: UpstreamAttempt) -> bool:
         """Pass a long value on from here, if one has begun."""
-        if self.piece is not None or fetch.begun is None or (head := self.reader.begin_streaming()) is None:
+        if (
+            self.piece is not None
+            or fetch.on_value_started is None
+            or (head := self.reader.begin_streaming()) is None
+        ):
             return False
-        self.piece = fetch.begun(self)
+        self.piece = fetch.on_value_started(self)
         self.pass_on(head)
         return True
 
@@ -183,13 +193,13 @@
             fetch.end(AttemptResult(Outcome.RESET if sent else Outcome.CONNECT_FAILED))
 
 
-def read_outcome(reply: resp.Reply, probe: bool) -> AttemptResult:
+def read_outcome(reply: resp.Reply, is_health_check: bool) -> AttemptResult:
     """A backend's reply as a result.  Only a probe is answered with a bulk string or a status line."""
     line, usage, report = reply.line, reply.usage, reply.report
     if not line:
         outcome = Outcome.OK
     elif not line.startswith(b"-"):
-        if not probe:
+        if not is_health_check:
             raise MalformedError(f"a request is not answered with {line[:20]!r}")
         outcome = Outcome.OK
     else:
@@ -206,23 +216,27 @@
 class Backend:
     """One backend's connections."""
 
-    def __init__(self, pool: Pool, name: str, address: str) -> None:
+    def __init__(self, pool: ConnectionPool, name: str, address: str) -> None:
         self.pool, self.name, self.address = pool, name, address
         self.at = host_port(address)
         self.idle: list[BackendConnection] = []  # the one used last is used first; the others age
         self.open: set[BackendConnection] = set()
         self.opening = 0
-        self.listed = self.serving = True
+        self.is_listed = self.serving = True
 
-    def start(self, fetch: Fetch) -> None:
+    def start(self, fetch: UpstreamAttempt) -> None:
         """Write it on an idle connection, or open one for it."""
         while self.idle:
             connection = self.idle.pop(self.settled())
             if not connection.unread():
-                connection.begin(fetch)
+                connection.write_attempt(fetch)
                 return
             connection.spoilt("bytes that nothing asked for, or its end")
-        if not self.serving or len(self.open) >= self.pool.limits.each or not self.pool.room():
+        if (
+            not self.serving
+            or len(self.open) >= self.pool.limits.max_connections_per_backend
+            or not self.pool.room()
+        ):
             # Guards a backend that drains, and the descriptors.  Never written, it tells nothing of it.
             fetch.end(AttemptResult(Outcome.NOT_SENT))
         else:
@@ -237,15 +251,15 @@
                 return place
         return 0
 
-    def dial(self, fetch: Fetch | None) -> None:
+    def dial(self, fetch: UpstreamAttempt | None) -> None:
         """Open a connection."""
         connection = BackendConnection(self, fetch)
         if fetch is not None:
             fetch.connection = connection
         self.open.add(connection)
         self.opening += 1
-        self.pool.total += 1
-        most = self.pool.limits.connect_ms
+        self.pool.total_connections += 1
+        most = self.pool.limits.connect_timeout_ms
         dial(self.pool.reactor, self.at, connection, lambda: self.refused(connection), most)
 
     def refused(self, connection: BackendConnection) -> None:
@@ -257,7 +271,7 @@
         """A connection is free."""
         if connection.gone:
             return
-        if not self.listed:
+        if not self.is_listed:
             connection.close()
             return
         connection.idle_at = self.pool.clock()
@@ -273,7 +287,7 @@
         self.unrest(connection)
         if connection in self.open:
             self.open.remove(connection)
-            self.pool.total -= 1
+            self.pool.total_connections -= 1
 
     def drain(self) -> None:
         """The backend wants nothing new.  What waits for a connection to come up was never written, and is
@@ -288,14 +302,14 @@
     def retire(self) -> None:
         """The backend is gone: idle connections close, the others when they are free.  Another machine may
         answer there by now."""
-        self.listed = False
+        self.is_listed = False
         self.drain()
         for connection in self.idle:
             connection.close()
         self.idle.clear()
 
 
-class Pool:
+class ConnectionPool:
     """All backends that the director has named."""
 
     def __init__(
@@ -307,31 +321,31 @@
     ) -> None:
         self.reactor, self.clock, self.log, self.limits = reactor, clock, log, limits
         self.backends: dict[str, Backend] = {}
-        self.total = 0
+        self.total_connections = 0
 
     def room(self) -> bool:
         """Whether one more connection may be opened; an idle one elsewhere makes room."""
-        if self.total < self.limits.connections:
+        if self.total_connections < self.limits.max_connections:
             return True
         oldest = [b.idle[0] for b in self.backends.values() if b.idle]
         if oldest:
             spare = min(oldest, key=lambda c: c.idle_at)
             spare.backend.forget(spare)  # its place is free now, its descriptor in the loop's next round
             spare.abort()
-        return self.total < self.limits.connections
+        return self.total_connections < self.limits.max_connections
 
-    def rest_no_longer(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close what is idle: another life of this limiter needs the room, here and at the backends."""
         for backend in self.backends.values():
             idle, backend.idle = backend.idle, []
             for connection in idle:
                 connection.close()
 
-    def fetching(self) -> int:
+    def busy_connections(self) -> int:
         """Connections that carry a fetch, or are opened for one."""
         return sum(c.fetch is not None for backend in self.backends.values() for c in backend.open)
 
-    def name(self, server: str, address: str, serving: bool = True) -> None:
+    def update_backend(self, server: str, address: str, serving: bool = True) -> None:
         """The director has named a backend, at an address; one that is not `serving` drains."""
         backend = self.backends.get(server)
         if backend is None or backend.address != address:
@@ -343,34 +357,34 @@
         else:
             backend.drain()
 
-    def keep(self, servers: Iterable[str]) -> None:
+    def retain_backends(self, servers: Iterable[str]) -> None:
         """Only these are left."""
         for server in self.backends.keys() - set(servers):
             self.backends.pop(server).retire()
 
-    def fetch(
+    def start_attempt(
         self,
         server: str,
         write: Write,
         ended: Ended,
         probe: bool = False,
-        left: Left | None = None,
-        begun: Begun | None = None,
-    ) -> Fetch:
+        on_sent: Left | None = None,
+        on_value_started: Begun | None = None,
+    ) -> UpstreamAttempt:
         """Begin an attempt.  `write` is called when a connection is there, and may find that it is wanted no
         longer: it ends as `MOOT` then.  `left` is told once its last byte is with the kernel, `begun` when a
         long value begins to come: it returns who takes the pieces."""
-        fetch = Fetch(write, ended, probe, left, begun)
+        fetch = UpstreamAttempt(write, ended, probe, on_sent, on_value_started)
         if (backend := self.backends.get(server)) is None:
             fetch.end(AttemptResult(Outcome.CONNECT_FAILED))
         else:
             backend.start(fetch)
         return fetch
 
-    def drop(self, fetch: Fetch) -> None:
+    def abandon(self, fetch: UpstreamAttempt) -> None:
         """Give an attempt up.  Its connection closes, as a late answer on it could be taken for another's;
         one that has not come up yet is kept for the next fetch."""
-        connection, fetch.done = fetch.connection, True
+        connection, fetch.is_done = fetch.connection, True
         if connection is None:
             return
         fetch.connection = connection.fetch = None
@@ -378,7 +392,7 @@
             connection.backend.unrest(connection)
             connection.abort()
 
-    def probe(self, server: str, ended: Callable[[Outcome, Mapping[str, float]], None]) -> None:
+    def check_health(self, server: str, ended: Callable[[Outcome, Mapping[str, float]], None]) -> None:
         """Ask a backend for its load."""
 
         def told(result: AttemptResult) -> None:
@@ -387,19 +401,19 @@
             ended(result.outcome, resp.read_report(text) if text else NO_LOAD_REPORT)
 
         def late() -> None:
-            if not fetch.done:
-                self.drop(fetch)
+            if not fetch.is_done:
+                self.abandon(fetch)
                 ended(Outcome.TIMEOUT, NO_LOAD_REPORT)
 
-        fetch = self.fetch(server, lambda: resp.INFO_LOAD, told, probe=True)
-        if not fetch.done:
+        fetch = self.start_attempt(server, lambda: resp.INFO_LOAD, told, probe=True)
+        if not fetch.is_done:
             self.reactor.callLater(INFO_TIMEOUT_MS / 1000, late)
 
     def sweep(self) -> None:
         """Close what has been idle for long, before the backend does so under a fetch; give up a value that
         has begun and does not go on, as no timer of its request runs any more."""
         now = self.clock()
-        before = now - self.limits.idle_ms
+        before = now - self.limits.idle_timeout_ms
         for backend in self.backends.values():
             for connection in [c for c in backend.open if c.stalled(now)]:
                 connection.spoilt("the value does not go on")
--- a/scalelb/transport/peerlink.py
+++ b/scalelb/transport/peerlink.py
@@ -18,11 +18,11 @@
 from scalelb.transport.stream import Delay, Log, Reactor, Stream, dial, host_port
 
 WORD = b"PEERS"
-HELLO_S = 2.0  # in which a peer has to name itself
+HELLO_TIMEOUT_S = 2.0  # in which a peer has to name itself
 DIAL_MS = 1000.0  # for a connection to come up
-UNHEARD_S = 3.0  # of silence after which a link is given up: it may be cut
-BYTES_S = 2 * 1024 * 1024  # that one peer may send in a second
-WRONG, SHUN_S = 3, 10.0  # messages that can't be read before a peer is shunned, for so long
+RECEIVE_TIMEOUT_S = 3.0  # of silence after which a link is given up: it may be cut
+MAX_BYTES_PER_S = 2 * 1024 * 1024  # that one peer may send in a second
+MAX_MALFORMED_MESSAGES, BLOCK_S = 3, 10.0  # messages that can't be read before a peer is shunned, for so long
 FORM = 1
 
 
@@ -40,7 +40,7 @@
         """The connection is up: say who is here."""
         super().connectionMade()
         self.heard = self.links.reactor.seconds()
-        self.late = self.links.reactor.callLater(HELLO_S, self.unnamed)
+        self.late = self.links.reactor.callLater(HELLO_TIMEOUT_S, self.unnamed)
         self.say({"hello": self.links.me, "form": FORM})
 
     def unnamed(self) -> None:
@@ -51,7 +51,7 @@
     def say(self, message: Any) -> None:
         """Send one message."""
         data = orjson.dumps(message)
-        self.links.sent += len(data)
+        self.links.bytes_sent += len(data)
         self.send(b"*2\r\n$5\r\n%s\r\n$%d\r\n%s\r\n" % (WORD, len(data), data))
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -60,10 +60,10 @@
         if now - self.second >= 1.0:
             self.second, self.came = now, 0
         self.came += len(data)
-        self.links.received += len(data)
+        self.links.bytes_received += len(data)
         self.heard = now
         try:
-            if self.came > BYTES_S:
+            if self.came > MAX_BYTES_PER_S:
                 raise MalformedError("too much in one second")
             for command in self.reader.feed(data):
                 if command.name != WORD or len(command) != 2:
@@ -76,7 +76,7 @@
                     self.links.heard(self, message)
                 else:
                     self.links.greet(self, message)
-                if self.gone or self.links.closing:
+                if self.gone or self.links.is_closing:
                     return
         except (MalformedError, ValueError) as error:
             self.links.wrong(self, str(error))
@@ -109,28 +109,28 @@
         self.joined, self.left, self.message = joined, left, message
         self.up: dict[str, PeerConnection] = {}
         self.dialling: set[str] = set()
-        self.open: set[PeerConnection] = set()
+        self.connections: set[PeerConnection] = set()
         self.wrongs: dict[str, int] = {}
         self.shunned: dict[str, float] = {}
-        self.sent = self.received = 0  # bytes
-        self.closing = False
+        self.bytes_sent = self.bytes_received = 0  # bytes
+        self.is_closing = False
 
     def buildProtocol(self, addr: IAddress | None) -> PeerConnection | None:  # noqa: N802
         """A peer connects.  Guards the descriptors: two for each peer at most."""
-        if self.closing or len(self.open) >= 2 * len(self.peers) + 4:
+        if self.is_closing or len(self.connections) >= 2 * len(self.peers) + 4:
             return None
         connection = PeerConnection(self)
-        self.open.add(connection)
+        self.connections.add(connection)
         return connection
 
     def dial(self, name: str) -> None:
         """Open a link, unless there is one or one is coming up."""
         shunned = self.reactor.seconds() < self.shunned.get(name, 0.0)
-        if name in self.up or name in self.dialling or shunned or name not in self.peers or self.closing:
+        if name in self.up or name in self.dialling or shunned or name not in self.peers or self.is_closing:
             return
         self.dialling.add(name)
         connection = PeerConnection(self, name)
-        self.open.add(connection)
+        self.connections.add(connection)
         dial(self.reactor, self.peers[name], connection, lambda: self.ended(connection), DIAL_MS)
 
     def greet(self, connection: PeerConnection, message: Any) -> None:
@@ -160,21 +160,21 @@
         self.log("malformed", level="warning", what=what, peer=name or "unnamed")
         if name:
             count = self.wrongs[name] = self.wrongs.get(name, 0) + 1
-            if count >= WRONG:
+            if count >= MAX_MALFORMED_MESSAGES:
                 self.wrongs[name] = 0
-                self.shunned[name] = self.reactor.seconds() + SHUN_S
+                self.shunned[name] = self.reactor.seconds() + BLOCK_S
         connection.abort()
 
     def ended(self, connection: PeerConnection) -> None:
         """A connection has ended, or never came up."""
-        self.open.discard(connection)
+        self.connections.discard(connection)
         if connection.dialled:
             self.dialling.discard(connection.name)
         if connection.name and self.up.get(connection.name) is connection:
             del self.up[connection.name]
             self.left(connection.name)
 
-    def ready(self, name: str) -> bool:
+    def is_ready(self, name: str) -> bool:
         """Whether a peer takes more now: what is newest waits for it here, and nothing lines up."""
         connection = self.up.get(name)
         return connection is not None and connection.flushed
@@ -186,12 +186,12 @@
 
     def sweep(self) -> None:
         """Give up links on which nothing is heard: a cut one would stay open for good."""
-        before = self.reactor.seconds() - UNHEARD_S
+        before = self.reactor.seconds() - RECEIVE_TIMEOUT_S
         for connection in [c for c in self.up.values() if c.heard < before]:
             connection.abort()
 
     def stop(self) -> None:
         """End all links."""
-        self.closing = True
-        for connection in list(self.open):
+        self.is_closing = True
+        for connection in list(self.connections):
             connection.abort()
--- a/tests/stored_formats.py
+++ b/tests/stored_formats.py
@@ -465,7 +465,7 @@
         while self.now < end:
             self.now += 50.0
             self.core.turn()
-            for peer, message in self.peering.tick(self.now, self.links.ready):
+            for peer, message in self.peering.tick(self.now, self.links.is_ready):
                 self.links.send(peer, message)
 
     # State read from the frames of peers
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -57,7 +57,7 @@
     for wire, (kind, report) in REPLIES.items():
         reader = resp.ReplyReader()
         [reply] = filter(None, map(reader.read, split_at(wire, positions)))
-        result = read_outcome(reply, probe=True)
+        result = read_outcome(reply, is_health_check=True)
         assert (result.outcome.value, result.report) == ("ok" if kind == "one" else kind, report)
         assert kind != "one" or (result.value is not None and bytes(result.value) == b"$3\r\none\r\n")
         assert not reader.extra
@@ -78,7 +78,7 @@
     def read_completely() -> None:
         reply = resp.ReplyReader().read(wire)
         assert reply is not None, "the reader waits for more bytes"
-        read_outcome(reply, probe=False)
+        read_outcome(reply, is_health_check=False)
 
     with pytest.raises(MalformedError):
         read_completely()
@@ -93,7 +93,7 @@
     wire = b"*3\r\n$3\r\none\r\n$-1\r\n$%d\r\n%s\r\n" % (len(text), text.encode())
     reply = resp.ReplyReader().read(wire)
     assert reply is not None
-    result = read_outcome(reply, probe=False)
+    result = read_outcome(reply, is_health_check=False)
     assert (result.outcome.value, result.report) == ("ok", {})
     assert result.value is not None
     assert bytes(result.value) == b"$3\r\none\r\n"
@@ -131,7 +131,7 @@
     reader = resp.ReplyReader()
     [reply] = filter(None, map(reader.read, split_at(wire, positions)))
     assert not reader.extra
-    return read_outcome(reply, probe=False)
+    return read_outcome(reply, is_health_check=False)
 
 
 USAGE_REPLIES: dict[bytes, tuple[str, Any, UsageFigures]] = {
@@ -192,7 +192,7 @@
     ]
     assert replies[:-1] == [None] * (len(replies) - 1)
     assert replies[-1] is not None
-    result = read_outcome(replies[-1], probe=False)
+    result = read_outcome(replies[-1], is_health_check=False)
     assert (result.usage, result.report) == (usage, {"queue": 2.0})
 
 
@@ -223,7 +223,7 @@
                     if message.name in (resp.CALL_GET, resp.CALL_POST):
                         resp.Call.read(message)
             elif (reply := resp.ReplyReader().read(data)) is not None:
-                read_outcome(reply, probe=False)
+                read_outcome(reply, is_health_check=False)
         except MalformedError:
             continue
 
--- a/tests/test_contained_faults.py
+++ b/tests/test_contained_faults.py
@@ -271,7 +271,7 @@
 def test_periodic_log_line_is_written_again_after_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = Harness()
     with monkeypatch.context() as broken:
-        broken.setattr(harness.loop.pool, "fetching", lambda: 1 / 0)
+        broken.setattr(harness.loop.pool, "busy_connections", lambda: 1 / 0)
         with pytest.raises(ZeroDivisionError):
             harness.wait(5100)
     harness.wait(5100)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -28,8 +28,8 @@
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("what", WHILE_DIALLING)
 def test_what_waits_for_its_connection_is_written_only_if_it_is_still_wanted(what: str, cancel: bool) -> None:
-    # Without the look in `BackendConnection.begin` it was written: for a client that had gone (where the
-    # settings allow no cancelling), to a backend that drained.
+    # Without the look in `BackendConnection.write_attempt` it was written: for a client that had gone (where
+    # the settings allow no cancelling), to a backend that drained.
     stage = Harness(backends=1, cancels_attempts=cancel)
     most, then = WHILE_DIALLING[what]
     stage.run(f"hold backend\n client send {{call(1, wait={most})}}\n director expect GET")
@@ -78,11 +78,11 @@
     [used] = [name for name in stage.net.wires if name.startswith("backend")]
     stage.run(f"{used} send {{SERVED}}\n client expect ok")
     pool = stage.loop.pool
-    pool.limits = replace(pool.limits, connections=1)
+    pool.limits = replace(pool.limits, max_connections=1)
     stage.wire(used).abortConnection = lambda: None  # the transport closes its socket in a later round
     [other] = {"s0", "s1"} - {name for name, b in pool.backends.items() if b.idle}
     ends: list[str] = []
-    pool.fetch(other, lambda: b"next", lambda result: ends.append(result.outcome.value))
+    pool.start_attempt(other, lambda: b"next", lambda result: ends.append(result.outcome.value))
     stage.wait(0)
     assert not ends
     name = "backend" + other[1].replace("0", "")
@@ -91,7 +91,7 @@
 
 def test_a_fetch_that_finds_no_place_here_is_not_held_against_its_backend() -> None:
     stage = Harness(backends=1)
-    stage.loop.pool.limits = replace(stage.loop.pool.limits, each=0)
+    stage.loop.pool.limits = replace(stage.loop.pool.limits, max_connections_per_backend=0)
     stage.run("client send {call(1)}")
     [server] = stage.loop.core.limiter.selector.endpoints.values()
     assert (server.connect_failures, server.ejected_until) == (0, 0.0)
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -337,8 +337,10 @@
     stage.run(STORIES[name])
     # The decisions' view is that of the sockets: attempts out, load, and which backends there are.
     limiter, pool = stage.loop.core.limiter, stage.loop.pool
-    retired = [w for w in stage.net.wires.get("backend", []) if not w.ended and not w.protocol.backend.listed]
-    assert len(limiter.attempts) == pool.fetching() + len(retired)
+    retired = [
+        w for w in stage.net.wires.get("backend", []) if not w.ended and not w.protocol.backend.is_listed
+    ]
+    assert len(limiter.attempts) == pool.busy_connections() + len(retired)
     assert sum(c.attempts_in_flight for c in limiter.tenants.tenants.values()) == len(limiter.attempts)
     for tracked in limiter.selector.endpoints.values():
         load = sum(attempt.load for attempt in limiter.attempts.values() if attempt.endpoint is tracked)
@@ -389,7 +391,7 @@
 def test_what_waits_for_a_connection_to_a_backend_that_is_gone_is_not_written() -> None:
     stage = Harness(backends=1)
     ends: list[str] = []
-    stage.loop.pool.fetch("s0", lambda: b"early", lambda result: ends.append(result.outcome.value))
+    stage.loop.pool.start_attempt("s0", lambda: b"early", lambda result: ends.append(result.outcome.value))
     stage.loop.told(2, True, [{**entry(0), "instanceId": "s9"}])
     assert ends == ["moot"]  # never sent, and nothing is held against the backend
     stage.run("wait 5\n backend closed\n backend expect-nothing")
@@ -420,9 +422,9 @@
     assert not stage.listener.sessions
     assert stage.listener.held == 0
     counter: Any = stage.loop.counter
-    assert stage.loop.pool.total == 0
-    assert not counter.open
-    assert not counter.out
+    assert stage.loop.pool.total_connections == 0
+    assert not counter.connections
+    assert not counter.calls_in_flight
 
 
 def test_a_director_that_has_no_room_is_left_in_peace_for_a_while() -> None:
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -9,7 +9,14 @@
 from scenario import MemoryNetwork
 
 from scalelb.replication import MalformedFrameError
-from scalelb.transport.peerlink import BYTES_S, HELLO_S, SHUN_S, UNHEARD_S, WRONG, PeerLinks
+from scalelb.transport.peerlink import (
+    BLOCK_S,
+    HELLO_TIMEOUT_S,
+    MAX_BYTES_PER_S,
+    MAX_MALFORMED_MESSAGES,
+    RECEIVE_TIMEOUT_S,
+    PeerLinks,
+)
 
 
 def words(message: Any) -> bytes:
@@ -53,7 +60,7 @@
     wire = ends.come(HELLO, {"k": 1})
     assert ends.told == [("joined", "n1"), ("n1", {"k": 1})]
     assert b'{"hello":"n0","form":1}' in wire.value()
-    assert ends.links.ready("n1")
+    assert ends.links.is_ready("n1")
     newer = ends.come(HELLO)
     assert wire.ended  # the older may be cut: the newer takes its place
     assert ends.told[2:] == [("left", "n1"), ("joined", "n1")]
@@ -79,30 +86,30 @@
     ends = Ends()
     wires = [ends.come() for _ in range(40)]
     assert sum(not wire.ended for wire in wires) == 2 * 2 + 4
-    ends.net.advance(HELLO_S + 0.1)
+    ends.net.advance(HELLO_TIMEOUT_S + 0.1)
     assert all(wire.ended for wire in wires)
-    assert not ends.links.open
+    assert not ends.links.connections
 
 
 def test_a_peer_that_talks_nonsense_again_and_again_is_shunned_for_a_while() -> None:
     ends = Ends()
-    for _ in range(WRONG):
+    for _ in range(MAX_MALFORMED_MESSAGES):
         assert ends.come(HELLO, "wrong").ended
     assert ends.come(HELLO).ended
     ends.links.dial("n1")
     assert not ends.links.dialling
-    ends.net.advance(SHUN_S + 0.1)
+    ends.net.advance(BLOCK_S + 0.1)
     assert not ends.come(HELLO).ended
 
 
 def test_a_peer_that_sends_too_much_or_nothing_is_hung_up_on() -> None:
     ends = Ends()
     loud, quiet = ends.come(HELLO), ends.come({"hello": "n2", "form": 1})
-    for _ in range(1 + BYTES_S // 60_000):
+    for _ in range(1 + MAX_BYTES_PER_S // 60_000):
         if not loud.ended:
             loud.protocol.dataReceived(words({"k": "x" * 60_000}))
     assert loud.ended
-    ends.net.advance(UNHEARD_S + 0.1)
+    ends.net.advance(RECEIVE_TIMEOUT_S + 0.1)
     ends.links.sweep()
     assert quiet.ended
     assert ("left", "n2") in ends.told
