--- a/scalelb/transport/director.py
+++ b/scalelb/transport/director.py
@@ -1,4 +1,7 @@
-"""The director watch: one call after the other, so that what changes in between counts as told at once."""
+"""The client of discovery: polls for the endpoint list, one after the other.
+
+Each poll waits for a change (long polling). The next one is sent right after the response, so that a change
+in between is reported without delay."""
 
 from __future__ import annotations
 
@@ -9,163 +12,182 @@
 from scalelb.transport.pace import Pace
 from scalelb.transport.stream import Delay, Log, Reactor, Stream, dial, host_port
 
-# A change counts as told 6 s after the director had it and could be reached, whatever calls were silent or
-# failed meanwhile.  So a watch that has fallen silent is found so early that further calls fit in.
-HOLD_MS, AT_ONCE_MS = 3000, 1  # how long the director may wait with an answer; after a call that failed
-SILENT_MS = 2500.0  # beyond that the connection is given up; a director that is full lets a call wait for 2 s
-AGENT_MS = 1000.0  # likewise of an agent, which answers at once
-REST_MS, REST_MOST_MS = 200.0, 3200.0  # between two parts of an answer; doubled where the last was given up
-DIAL_MS = 1000.0  # for a connection to come up
+# A change counts as known to a limiter 6 s after discovery had it and was reachable, even if polls failed or
+# got no response meanwhile. A connection without a response is therefore closed early enough to poll again.
+HOLD_MS, HOLD_AFTER_FAILURE_MS = 3000, 1  # how long discovery may wait for a change before it responds
+RESPONSE_GRACE_MS = 2500.0  # beyond the hold time; an overloaded discovery responds up to 2 s late
+AGENT_GRACE_MS = 1000.0  # the same for an agent on this machine, which responds at once
+PART_TIMEOUT_MS, MAX_PART_TIMEOUT_MS = (
+    200.0,
+    3200.0,
+)  # for the next part of a response; doubled if late
+CONNECT_TIMEOUT_MS = 1000.0
 
-Listed = Callable[[int, bool, list[dict[str, Any]]], None]
+# Receives the generation of a list, whether the list is complete, and its entries.
+OnEndpointList = Callable[[int, bool, list[dict[str, Any]]], None]
 
 
-class DirectorConnection(Stream):
-    """One connection to the director."""
+class DiscoveryConnection(Stream):
+    """One connection to discovery."""
 
-    def __init__(self, watch: DiscoveryClient) -> None:
-        self.watch = watch
+    def __init__(self, client: DiscoveryClient) -> None:
+        self.client = client
         self.reader = http.ResponseReader()
 
     def connectionMade(self) -> None:  # noqa: N802
-        """The connection is up."""
+        """Send the first poll."""
         super().connectionMade()
-        if self is self.watch.connection:
-            self.watch.ask(self)
-        else:  # the director has moved while this one was coming up
+        if self is self.client.connection:
+            self.client.poll(self)
+        else:  # the address of discovery has changed since this connection was opened
             self.abort()
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Bytes from the director."""
+        """Process bytes from discovery."""
         try:
             responses = self.reader.feed(data)
             for response in responses:
-                self.watch.told(self, response)
+                self.client.on_response(self, response)
             if not responses:
-                self.watch.begun(self)
+                self.client.on_partial_response(self)
         except MalformedError as error:
-            self.watch.log("malformed", level="warning", what=str(error), director=self.watch.address)
+            self.client.log("malformed", level="warning", what=str(error), director=self.client.address)
             self.abort()
 
     def lost(self) -> None:
-        """The connection has ended."""
-        self.watch.again(self)
+        """Have the client reconnect."""
+        self.client.schedule_reconnect(self)
 
 
 class DiscoveryClient:
-    """Watches the list for as long as the program runs, whatever the director does."""
+    """Polls discovery for the endpoint list until the program stops, whatever fails in between."""
 
     def __init__(
         self,
         reactor: Reactor,
         address: str,
         generation: int | None,
-        listed: Listed,
+        on_endpoint_list: OnEndpointList,
         log: Log,
         pace: Pace,
     ) -> None:
-        self.reactor, self.address, self.listed, self.log = reactor, address, listed, log
-        self.at = host_port(address)
-        self.generation = generation  # of the list that is known; nothing: the whole list is asked for
-        self.connection: DirectorConnection | None = None
-        self.silent: Delay | None = None
-        self.due: Delay | None = None  # the next call
+        self.reactor, self.address, self.on_endpoint_list, self.log = reactor, address, on_endpoint_list, log
+        self.socket_address = host_port(address)
+        self.generation = generation  # of the last list; None: the next poll requests the complete list
+        self.connection: DiscoveryConnection | None = None
+        self.response_timeout: Delay | None = None
+        self.next_connect: Delay | None = None
         self.pace = pace
-        self.stopped = self.partial = False
-        self.failed = False  # the last call brought no list: the next does not wait for a change
-        self.rest_ms = REST_MS
+        self.is_stopped = self.has_partial_response = False
+        self.has_failed = False  # the last poll returned no list, so the next one does not wait for a change
+        self.part_timeout_ms = PART_TIMEOUT_MS
 
     def start(self) -> None:
-        """Connect and ask: at once for a first list, else when this one's turn has come."""
-        wait = self.pace.first() if self.generation is not None else 0.0
-        self.due = self.reactor.callLater(wait / 1000, self.connect)
+        """Start polling: at once if no list is known, else after a random delay, as all limiters may have
+        been started together."""
+        wait_ms = self.pace.first() if self.generation is not None else 0.0
+        self.next_connect = self.reactor.callLater(wait_ms / 1000, self.connect)
 
     def connect(self) -> None:
-        """Connect, and ask."""
-        if self.stopped:
+        """Open a connection, which polls as soon as it is established."""
+        if self.is_stopped:
             return
-        self.connection = connection = DirectorConnection(self)
-        dial(self.reactor, self.at, connection, lambda: self.again(connection), DIAL_MS)
-
-    def ask(self, connection: DirectorConnection) -> None:
-        """Send the next call of the watch."""
-        hold = AT_ONCE_MS if self.failed or self.generation is None else HOLD_MS
-        connection.send(http.watch_request(self.address, self.generation, hold))
-        grace = SILENT_MS if self.pace.shared else AGENT_MS
-        self.silent = self.reactor.callLater((hold + grace) / 1000, self.give_up, connection)
-
-    def told(self, connection: DirectorConnection, response: http.Response) -> None:
-        """An answer: tell what changed and ask again at once."""
-        if connection is not self.connection:  # guards the list against one that was left: its word is old
+        self.connection = connection = DiscoveryConnection(self)
+        dial(
+            self.reactor,
+            self.socket_address,
+            connection,
+            lambda: self.schedule_reconnect(connection),
+            CONNECT_TIMEOUT_MS,
+        )
+
+    def poll(self, connection: DiscoveryConnection) -> None:
+        """Send the next poll."""
+        hold_ms = HOLD_AFTER_FAILURE_MS if self.has_failed or self.generation is None else HOLD_MS
+        connection.send(http.watch_request(self.address, self.generation, hold_ms))
+        grace_ms = RESPONSE_GRACE_MS if self.pace.shared else AGENT_GRACE_MS
+        self.response_timeout = self.reactor.callLater(
+            (hold_ms + grace_ms) / 1000, self.on_response_timeout, connection
+        )
+
+    def on_response(self, connection: DiscoveryConnection, response: http.Response) -> None:
+        """Send the next poll at once, and report what has changed."""
+        if connection is not self.connection:  # it has been replaced, so its list may be outdated
             return
-        self._heard()
-        self.failed = response.status != 200
-        if self.failed:
+        self._cancel_response_timeout()
+        self.has_failed = response.status != 200
+        if self.has_failed:
             self.log("director", level="warning", status=response.status)
             if response.status == 503:
                 self.pace.refused()
-            if response.status in (400, 404, 410):  # guards a version that it no longer knows
+            if response.status in (400, 404, 410):  # discovery may not know this generation any more
                 self.generation = None
             connection.close()
             return
-        generation, full, entries = http.read_endpoint_list(response.body)
+        generation, is_complete, entries = http.read_endpoint_list(response.body)
         self.pace.answered()
-        self.rest_ms = REST_MS
+        self.part_timeout_ms = PART_TIMEOUT_MS
         if not response.keep:
             connection.close()
-        changed = full or entries or generation != self.generation
+        has_changed = is_complete or entries or generation != self.generation
         self.generation = generation
         if response.keep:
-            self.ask(connection)
-        if changed:
-            self.listed(generation, full, entries)
+            self.poll(connection)
+        if has_changed:
+            self.on_endpoint_list(generation, is_complete, entries)
+
+    def on_partial_response(self, connection: DiscoveryConnection) -> None:
+        """Wait for the next part of a response for a short time only, then poll anew.
 
-    def begun(self, connection: DirectorConnection) -> None:
-        """A part of an answer has come.  Guards the rule on drains: what the director has begun to write may
-        count as told, so the next part has to come soon, or all is asked for again."""
+        A draining backend may count as known to the limiter once discovery begins to write its entry."""
         if connection is self.connection:
-            self._heard()
-            self.partial = True
-            self.silent = self.reactor.callLater(self.rest_ms / 1000, self.give_up, connection)
+            self._cancel_response_timeout()
+            self.has_partial_response = True
+            self.response_timeout = self.reactor.callLater(
+                self.part_timeout_ms / 1000, self.on_response_timeout, connection
+            )
 
-    def give_up(self, connection: DirectorConnection) -> None:
-        """Guards against a director that is silent on an open connection.  One that is slow with the parts of
-        its answers gets more time with each that was given up: else it would never be heard."""
+    def on_response_timeout(self, connection: DiscoveryConnection) -> None:
+        """Close an open connection on which discovery does not respond.
+
+        If only the next part of a response was late, the parts of later responses get more time: otherwise
+        no response of a slow discovery would ever be received completely."""
         self.log("director", level="warning", what="silent")
-        if self.partial:
-            self.rest_ms = min(REST_MOST_MS, 2 * self.rest_ms)
+        if self.has_partial_response:
+            self.part_timeout_ms = min(MAX_PART_TIMEOUT_MS, 2 * self.part_timeout_ms)
         connection.abort()
 
-    def again(self, connection: DirectorConnection) -> None:
-        """Connect anew, soon."""
+    def schedule_reconnect(self, connection: DiscoveryConnection) -> None:
+        """Reconnect after a pause, unless the connection that ended has already been replaced."""
         if connection is self.connection:
-            self._heard()
-            self.failed = True
+            self._cancel_response_timeout()
+            self.has_failed = True
             self.connection = None
-            self.due = self.reactor.callLater(self.pace.pause() / 1000, self.connect)
+            self.next_connect = self.reactor.callLater(self.pace.pause() / 1000, self.connect)
 
     def move(self, address: str) -> None:
-        """Watch at another address from now on.  Its versions may be others: the whole list is asked for, and
-        until it comes the old one serves."""
-        self.address, self.at = address, host_port(address)
+        """Poll another address from now on.
+
+        Its generations may differ, so the complete list is requested; the current one is used until then."""
+        self.address, self.socket_address = address, host_port(address)
         self.generation = None
         self.pace.answered()
-        self._heard()
-        if self.due is not None and self.due.active():  # guards the new one against a pause from the old
-            self.due.cancel()
+        self._cancel_response_timeout()
+        if self.next_connect is not None and self.next_connect.active():
+            self.next_connect.cancel()  # a backoff at the old address does not apply to the new one
             self.connect()
         elif (old := self.connection) is not None:
             self.connect()
             old.abort()
 
     def stop(self) -> None:
-        """Watch no longer."""
-        self.stopped = True
-        self._heard()
+        """Stop polling and close the connection."""
+        self.is_stopped = True
+        self._cancel_response_timeout()
         if self.connection is not None:
             self.connection.abort()
 
-    def _heard(self) -> None:
-        if self.silent is not None and self.silent.active():
-            self.silent.cancel()
-        self.silent, self.partial = None, False
+    def _cancel_response_timeout(self) -> None:
+        if self.response_timeout is not None and self.response_timeout.active():
+            self.response_timeout.cancel()
+        self.response_timeout, self.has_partial_response = None, False
