--- a/scalelb/transport/peerlink.py
+++ b/scalelb/transport/peerlink.py
@@ -1,8 +1,8 @@
-"""The links between limiters: one TCP connection for a pair, on the codec and streams of the clients' side.
+"""Links between limiters: one TCP connection per pair, with the codec and the streams of the client side.
 
-A message is a command of two words, `PEERS` and a JSON value. The first of each side names it; one whose name
-is not on the list, or is our own, is hung up on. For a private network: nobody signs in here, and what a peer
-may do to us is bounded by what is made of its words (`program/peering.py`).
+A message is a command of two parts, `PEERS` and a JSON value. The first message of each side names it. A
+connection is closed if that name is not in the configuration or is the limiter's own. Links are meant for a
+private network: peers are not authenticated, and `program/peering.py` bounds what their messages can cause.
 """
 
 from __future__ import annotations
@@ -17,106 +17,112 @@
 from scalelb.protocol import MalformedError, resp
 from scalelb.transport.stream import Delay, Log, Reactor, Stream, dial, host_port
 
-WORD = b"PEERS"
-HELLO_TIMEOUT_S = 2.0  # in which a peer has to name itself
-DIAL_MS = 1000.0  # for a connection to come up
-RECEIVE_TIMEOUT_S = 3.0  # of silence after which a link is given up: it may be cut
-MAX_BYTES_PER_S = 2 * 1024 * 1024  # that one peer may send in a second
-MAX_MALFORMED_MESSAGES, BLOCK_S = 3, 10.0  # messages that can't be read before a peer is shunned, for so long
-FORM = 1
+COMMAND_NAME = b"PEERS"
+HELLO_TIMEOUT_S = 2.0  # for the first message of a peer
+CONNECT_TIMEOUT_MS = 1000.0
+RECEIVE_TIMEOUT_S = 3.0  # a link on which nothing arrives for longer may be cut and is closed
+MAX_BYTES_PER_S = 2 * 1024 * 1024  # from one peer
+MAX_MALFORMED_MESSAGES, BLOCK_S = 3, 10.0  # a peer that reaches this number is blocked for so long
+PROTOCOL_VERSION = 1
 
 
 class PeerConnection(Stream):
-    """One connection; `name` is the peer's once it is known."""
+    """One connection. `name` is that of the peer, or empty until it is known.
+
+    Times are in seconds of the reactor's clock."""
 
     def __init__(self, links: PeerLinks, name: str = "") -> None:
-        self.links, self.name, self.dialled = links, name, bool(name)
+        self.links, self.name, self.is_outgoing = links, name, bool(name)
         self.reader = resp.CommandReader()
-        self.greeted = False  # its first message has come
-        self.came, self.second, self.heard = 0, 0.0, 0.0
-        self.late: Delay | None = None
+        self.has_hello = False  # the peer's first message has been received
+        self.bytes_in_window, self.window_started_at, self.last_received_at = 0, 0.0, 0.0
+        self.hello_timeout: Delay | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        """The connection is up: say who is here."""
+        """Send the first message, and wait for that of the peer."""
         super().connectionMade()
-        self.heard = self.links.reactor.seconds()
-        self.late = self.links.reactor.callLater(HELLO_TIMEOUT_S, self.unnamed)
-        self.say({"hello": self.links.me, "form": FORM})
+        self.last_received_at = self.links.reactor.seconds()
+        self.hello_timeout = self.links.reactor.callLater(HELLO_TIMEOUT_S, self.on_hello_timeout)
+        self.send_message({"hello": self.links.own_name, "form": PROTOCOL_VERSION})
 
-    def unnamed(self) -> None:
-        """Nobody has said who it is in time."""
-        if not self.greeted:
+    def on_hello_timeout(self) -> None:
+        """Close the connection if the peer has not named itself in time."""
+        if not self.has_hello:
             self.abort()
 
-    def say(self, message: Any) -> None:
+    def send_message(self, message: Any) -> None:
         """Send one message."""
         data = orjson.dumps(message)
         self.links.bytes_sent += len(data)
-        self.send(b"*2\r\n$5\r\n%s\r\n$%d\r\n%s\r\n" % (WORD, len(data), data))
+        self.send(b"*2\r\n$5\r\n%s\r\n$%d\r\n%s\r\n" % (COMMAND_NAME, len(data), data))
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Bytes of a peer.  Guards the processor: one that sends too much is hung up on."""
+        """Process bytes from the peer; close the connection if they are malformed.
+
+        It is also closed if the peer sends more than `MAX_BYTES_PER_S`, as parsing takes processor time."""
         now = self.links.reactor.seconds()
-        if now - self.second >= 1.0:
-            self.second, self.came = now, 0
-        self.came += len(data)
+        if now - self.window_started_at >= 1.0:
+            self.window_started_at, self.bytes_in_window = now, 0
+        self.bytes_in_window += len(data)
         self.links.bytes_received += len(data)
-        self.heard = now
+        self.last_received_at = now
         try:
-            if self.came > MAX_BYTES_PER_S:
+            if self.bytes_in_window > MAX_BYTES_PER_S:
                 raise MalformedError("too much in one second")
             for command in self.reader.feed(data):
-                if command.name != WORD or len(command) != 2:
+                if command.name != COMMAND_NAME or len(command) != 2:
                     raise MalformedError("not a peer's message")
                 try:
                     message = orjson.loads(command.part(1))
                 except orjson.JSONDecodeError as error:
                     raise MalformedError(f"not JSON: {error}") from None
-                if self.greeted:
-                    self.links.heard(self, message)
+                if self.has_hello:
+                    self.links.on_peer_message(self, message)
                 else:
-                    self.links.greet(self, message)
+                    self.links.on_hello(self, message)
                 if self.gone or self.links.is_closing:
                     return
         except (MalformedError, ValueError) as error:
-            self.links.wrong(self, str(error))
+            self.links.on_malformed(self, str(error))
 
     def lost(self) -> None:
-        """The connection has ended."""
-        if self.late is not None and self.late.active():
-            self.late.cancel()
-        self.links.ended(self)
+        """Report the end of the connection."""
+        if self.hello_timeout is not None and self.hello_timeout.active():
+            self.hello_timeout.cancel()
+        self.links.on_connection_end(self)
 
 
 class PeerLinks(ServerFactory):
-    """All links of one limiter.  `heard` and the rest call the owner back; it never waits for a peer."""
+    """All links of one limiter.
+
+    Callbacks are notified of links that come up or go down, and of messages. No call waits for a peer."""
 
     noisy = False
 
     def __init__(
         self,
         reactor: Reactor,
-        me: str,
+        own_name: str,
         peers: dict[str, str],
         log: Log,
-        joined: Callable[[str], None],
-        left: Callable[[str], None],
-        message: Callable[[str, Any], None],
+        on_link_up: Callable[[str], None],
+        on_link_down: Callable[[str], None],
+        on_message: Callable[[str, Any], None],
     ) -> None:
-        """`peers`: the others' names and addresses."""
-        self.reactor, self.me, self.log = reactor, me, log
+        """`own_name` is that of this limiter; `peers` holds the addresses of the others by name."""
+        self.reactor, self.own_name, self.log = reactor, own_name, log
         self.peers = {name: host_port(address) for name, address in peers.items()}
-        self.joined, self.left, self.message = joined, left, message
-        self.up: dict[str, PeerConnection] = {}
+        self.on_link_up, self.on_link_down, self.on_message = on_link_up, on_link_down, on_message
+        self.established: dict[str, PeerConnection] = {}  # by name of the peer
         self.dialling: set[str] = set()
-        self.connections: set[PeerConnection] = set()
-        self.wrongs: dict[str, int] = {}
-        self.shunned: dict[str, float] = {}
-        self.bytes_sent = self.bytes_received = 0  # bytes
+        self.connections: set[PeerConnection] = set()  # all of them, including those of unknown peers
+        self.malformed_counts: dict[str, int] = {}
+        self.blocked_until: dict[str, float] = {}
+        self.bytes_sent = self.bytes_received = 0
         self.is_closing = False
 
     def buildProtocol(self, addr: IAddress | None) -> PeerConnection | None:  # noqa: N802
-        """A peer connects.  Guards the descriptors: two for each peer at most."""
+        """Accept a connection. The limit of about two per peer protects the file descriptors."""
         if self.is_closing or len(self.connections) >= 2 * len(self.peers) + 4:
             return None
         connection = PeerConnection(self)
@@ -124,74 +130,91 @@
         return connection
 
     def dial(self, name: str) -> None:
-        """Open a link, unless there is one or one is coming up."""
-        shunned = self.reactor.seconds() < self.shunned.get(name, 0.0)
-        if name in self.up or name in self.dialling or shunned or name not in self.peers or self.is_closing:
+        """Open a link, unless there is one already, one is being opened, or the peer is blocked."""
+        is_blocked = self.reactor.seconds() < self.blocked_until.get(name, 0.0)
+        if (
+            name in self.established
+            or name in self.dialling
+            or is_blocked
+            or name not in self.peers
+            or self.is_closing
+        ):
             return
         self.dialling.add(name)
         connection = PeerConnection(self, name)
         self.connections.add(connection)
-        dial(self.reactor, self.peers[name], connection, lambda: self.ended(connection), DIAL_MS)
-
-    def greet(self, connection: PeerConnection, message: Any) -> None:
-        """A peer's first message.  A newer connection takes the older one's place, which may be cut."""
+        dial(
+            self.reactor,
+            self.peers[name],
+            connection,
+            lambda: self.on_connection_end(connection),
+            CONNECT_TIMEOUT_MS,
+        )
+
+    def on_hello(self, connection: PeerConnection, message: Any) -> None:
+        """Process a peer's first message.
+
+        The connection replaces an older one with the same peer, as that one may be cut. Raises
+        `MalformedError` if the message names no peer, or not the one that was dialled."""
         name = message.get("hello") if isinstance(message, dict) else None
-        if not isinstance(name, str) or name not in self.peers or message.get("form") != FORM:
+        if not isinstance(name, str) or name not in self.peers or message.get("form") != PROTOCOL_VERSION:
             raise MalformedError("not one of ours")
-        if connection.dialled and connection.name != name:
+        if connection.is_outgoing and connection.name != name:
             raise MalformedError(f"{name} answers for {connection.name}")
-        if self.reactor.seconds() < self.shunned.get(name, 0.0):
+        if self.reactor.seconds() < self.blocked_until.get(name, 0.0):
             raise MalformedError("shunned")
-        connection.name, connection.greeted = name, True
-        if (old := self.up.pop(name, None)) is not None:
+        connection.name, connection.has_hello = name, True
+        if (old := self.established.pop(name, None)) is not None:
             old.abort()
-            self.left(name)
-        self.up[name] = connection
-        self.joined(name)
+            self.on_link_down(name)
+        self.established[name] = connection
+        self.on_link_up(name)
 
-    def heard(self, connection: PeerConnection, message: Any) -> None:
-        """A message of a peer that has named itself."""
-        if self.up.get(connection.name) is connection:
-            self.message(connection.name, message)
+    def on_peer_message(self, connection: PeerConnection, message: Any) -> None:
+        """Pass on a message, unless its connection has been replaced."""
+        if self.established.get(connection.name) is connection:
+            self.on_message(connection.name, message)
 
-    def wrong(self, connection: PeerConnection, what: str) -> None:
-        """Something that can't be: the link ends; a peer that goes on like that is shunned for a while."""
+    def on_malformed(self, connection: PeerConnection, what: str) -> None:
+        """Log what was malformed and close the connection; block the peer if this has happened too often."""
         name = connection.name
         self.log("malformed", level="warning", what=what, peer=name or "unnamed")
         if name:
-            count = self.wrongs[name] = self.wrongs.get(name, 0) + 1
+            count = self.malformed_counts[name] = self.malformed_counts.get(name, 0) + 1
             if count >= MAX_MALFORMED_MESSAGES:
-                self.wrongs[name] = 0
-                self.shunned[name] = self.reactor.seconds() + BLOCK_S
+                self.malformed_counts[name] = 0
+                self.blocked_until[name] = self.reactor.seconds() + BLOCK_S
         connection.abort()
 
-    def ended(self, connection: PeerConnection) -> None:
-        """A connection has ended, or never came up."""
+    def on_connection_end(self, connection: PeerConnection) -> None:
+        """Remove a connection that has ended or could not be established."""
         self.connections.discard(connection)
-        if connection.dialled:
+        if connection.is_outgoing:
             self.dialling.discard(connection.name)
-        if connection.name and self.up.get(connection.name) is connection:
-            del self.up[connection.name]
-            self.left(connection.name)
+        if connection.name and self.established.get(connection.name) is connection:
+            del self.established[connection.name]
+            self.on_link_down(connection.name)
 
     def is_ready(self, name: str) -> bool:
-        """Whether a peer takes more now: what is newest waits for it here, and nothing lines up."""
-        connection = self.up.get(name)
+        """Whether a link to the peer is up and all that was sent on it is with the kernel.
+
+        Until then the caller keeps its newest data, so that no queue of outdated messages builds up."""
+        connection = self.established.get(name)
         return connection is not None and connection.flushed
 
     def send(self, name: str, message: Any) -> None:
-        """One message, if there is a link."""
-        if (connection := self.up.get(name)) is not None:
-            connection.say(message)
+        """Send a message if a link to the peer is up."""
+        if (connection := self.established.get(name)) is not None:
+            connection.send_message(message)
 
     def sweep(self) -> None:
-        """Give up links on which nothing is heard: a cut one would stay open for good."""
-        before = self.reactor.seconds() - RECEIVE_TIMEOUT_S
-        for connection in [c for c in self.up.values() if c.heard < before]:
+        """Close links on which nothing was received for long: a cut one would stay open indefinitely."""
+        received_before = self.reactor.seconds() - RECEIVE_TIMEOUT_S
+        for connection in [c for c in self.established.values() if c.last_received_at < received_before]:
             connection.abort()
 
     def stop(self) -> None:
-        """End all links."""
+        """Close all connections."""
         self.is_closing = True
         for connection in list(self.connections):
             connection.abort()
