--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -1,4 +1,4 @@
-"""The links between limiters on sockets in memory: who is let in, who is not, and how much is taken."""
+"""Links between limiters on in-memory connections: which peers are accepted, and limits on what they send."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 
-def words(message: Any) -> bytes:
+def encode_message(message: Any) -> bytes:
     data = message if isinstance(message, bytes) else orjson.dumps(message)
     return b"*2\r\n$5\r\nPEERS\r\n$%d\r\n%s\r\n" % (len(data), data)
 
@@ -27,100 +27,101 @@
 HELLO = {"hello": "n1", "form": 1}
 
 
-class Ends:
-    """One limiter's links, and what it was told."""
+class LinksHarness:
+    """The links of one limiter, and the calls of their callbacks."""
 
     def __init__(self) -> None:
         net: Any = MemoryNetwork()
         self.net = net
-        self.told: list[tuple[Any, ...]] = []
+        self.events: list[tuple[Any, ...]] = []
         self.logged: list[dict[str, Any]] = []
         peers = {"n1": "127.0.0.1:7201", "n2": "127.0.0.1:7202"}
         self.links = PeerLinks(
-            self.net, "n0", peers, lambda event, **f: self.logged.append({"event": event, **f}),
-            lambda name: self.told.append(("joined", name)), lambda name: self.told.append(("left", name)),
-            self.message,
+            self.net, "n0", peers, lambda event, **fields: self.logged.append({"event": event, **fields}),
+            lambda name: self.events.append(("up", name)), lambda name: self.events.append(("down", name)),
+            self.on_message,
         )  # fmt: skip
 
-    def message(self, name: str, message: Any) -> None:
-        if message == "wrong":
-            raise MalformedFrameError("wrong")
-        self.told.append((name, message))
+    def on_message(self, name: str, message: Any) -> None:
+        if message == "invalid":
+            raise MalformedFrameError("invalid")
+        self.events.append((name, message))
 
-    def come(self, *messages: Any) -> Any:
+    def accept(self, *messages: Any) -> Any:
+        """Return a connection that a peer has opened and on which it has sent these messages."""
         wire = self.net.connect("peer", self.links)
         for message in messages:
             if not wire.ended:
-                wire.protocol.dataReceived(words(message))
+                wire.protocol.dataReceived(encode_message(message))
         return wire
 
 
-def test_a_peer_on_the_list_is_let_in_and_heard() -> None:
-    ends = Ends()
-    wire = ends.come(HELLO, {"k": 1})
-    assert ends.told == [("joined", "n1"), ("n1", {"k": 1})]
+def test_configured_peer_is_accepted_and_its_newer_connection_replaces_the_older() -> None:
+    harness = LinksHarness()
+    wire = harness.accept(HELLO, {"k": 1})
+    assert harness.events == [("up", "n1"), ("n1", {"k": 1})]
     assert b'{"hello":"n0","form":1}' in wire.value()
-    assert ends.links.is_ready("n1")
-    newer = ends.come(HELLO)
-    assert wire.ended  # the older may be cut: the newer takes its place
-    assert ends.told[2:] == [("left", "n1"), ("joined", "n1")]
+    assert harness.links.is_ready("n1")
+    newer = harness.accept(HELLO)
+    assert wire.ended  # the older connection may be cut, so the newer one replaces it
+    assert harness.events[2:] == [("down", "n1"), ("up", "n1")]
     assert not newer.ended
 
 
 @pytest.mark.parametrize(
-    "first",
+    "first_message",
     [
         {"hello": "n9", "form": 1}, {"hello": "n0", "form": 1}, {"hello": "n1", "form": 2}, {"hello": 7},
         [], b"{",
     ],
     ids=str,
 )  # fmt: skip
-def test_whoever_is_not_one_of_ours_is_hung_up_on(first: Any) -> None:
-    ends = Ends()
-    assert ends.come(first).ended
-    assert ends.told == []
-    assert ends.logged[0]["event"] == "malformed"
+def test_connection_with_an_invalid_first_message_is_closed(first_message: Any) -> None:
+    harness = LinksHarness()
+    assert harness.accept(first_message).ended
+    assert harness.events == []
+    assert harness.logged[0]["event"] == "malformed"
 
 
-def test_a_caller_that_does_not_name_itself_is_closed_and_places_are_bounded() -> None:
-    ends = Ends()
-    wires = [ends.come() for _ in range(40)]
+def test_connections_are_limited_and_closed_without_a_first_message_in_time() -> None:
+    harness = LinksHarness()
+    wires = [harness.accept() for _ in range(40)]
     assert sum(not wire.ended for wire in wires) == 2 * 2 + 4
-    ends.net.advance(HELLO_TIMEOUT_S + 0.1)
+    harness.net.advance(HELLO_TIMEOUT_S + 0.1)
     assert all(wire.ended for wire in wires)
-    assert not ends.links.connections
+    assert not harness.links.connections
 
 
-def test_a_peer_that_talks_nonsense_again_and_again_is_shunned_for_a_while() -> None:
-    ends = Ends()
+def test_peer_is_blocked_for_some_time_after_repeated_malformed_messages() -> None:
+    harness = LinksHarness()
     for _ in range(MAX_MALFORMED_MESSAGES):
-        assert ends.come(HELLO, "wrong").ended
-    assert ends.come(HELLO).ended
-    ends.links.dial("n1")
-    assert not ends.links.dialling
-    ends.net.advance(BLOCK_S + 0.1)
-    assert not ends.come(HELLO).ended
+        assert harness.accept(HELLO, "invalid").ended
+    assert harness.accept(HELLO).ended
+    harness.links.dial("n1")
+    assert not harness.links.dialling
+    harness.net.advance(BLOCK_S + 0.1)
+    assert not harness.accept(HELLO).ended
 
 
-def test_a_peer_that_sends_too_much_or_nothing_is_hung_up_on() -> None:
-    ends = Ends()
-    loud, quiet = ends.come(HELLO), ends.come({"hello": "n2", "form": 1})
+def test_peer_that_sends_too_much_or_nothing_is_disconnected() -> None:
+    harness = LinksHarness()
+    excessive, unresponsive = harness.accept(HELLO), harness.accept({"hello": "n2", "form": 1})
     for _ in range(1 + MAX_BYTES_PER_S // 60_000):
-        if not loud.ended:
-            loud.protocol.dataReceived(words({"k": "x" * 60_000}))
-    assert loud.ended
-    ends.net.advance(RECEIVE_TIMEOUT_S + 0.1)
-    ends.links.sweep()
-    assert quiet.ended
-    assert ("left", "n2") in ends.told
-
-
-def test_one_that_answers_for_another_is_no_peer() -> None:
-    ends = Ends()
-    ends.links.dial("n2")
-    ends.links.dial("n2")
-    ends.net.advance(0)
-    [wire] = ends.net.wires["backend2"]
-    wire.protocol.dataReceived(words(HELLO))
+        if not excessive.ended:
+            excessive.protocol.dataReceived(encode_message({"k": "x" * 60_000}))
+    assert excessive.ended
+    harness.net.advance(RECEIVE_TIMEOUT_S + 0.1)
+    harness.links.sweep()
+    assert unresponsive.ended
+    assert ("down", "n2") in harness.events
+
+
+def test_connection_is_closed_if_another_peer_answers() -> None:
+    harness = LinksHarness()
+    harness.links.dial("n2")
+    harness.links.dial("n2")
+    harness.net.advance(0)
+    [wire] = harness.net.wires["backend2"]
+    wire.protocol.dataReceived(encode_message(HELLO))
     assert wire.ended
-    assert ends.told == []
+    assert harness.events == []
