--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Puts the tests' own helpers and the sources on the path."""
+"""Adds the test helpers and the sources to the import path, and loads the plugins."""
 
 import sys
 from pathlib import Path
