--- a/scalelb/transport/counter.py
+++ b/scalelb/transport/counter.py
@@ -52,7 +52,7 @@
             self.client.release(self)
 
     def write_call(self, call: CounterCall) -> None:
-        """Write a call."""
+        """Write a call on the connection."""
         self.call, self.is_written = call, True
         self.send(call.request)
 
@@ -209,7 +209,7 @@
             self.idle.remove(connection)
 
     def sweep(self) -> None:
-        """Close connections that have been idle for long, before the counter closes them during a call."""
+        """Close connections that have been idle for too long, before the counter closes one during a call."""
         released_before = self.clock() - IDLE_TIMEOUT_MS
         for connection in [c for c in self.idle if c.released_at < released_before]:
             self.idle.remove(connection)
--- a/scalelb/transport/director.py
+++ b/scalelb/transport/director.py
@@ -17,10 +17,8 @@
 HOLD_MS, HOLD_AFTER_FAILURE_MS = 3000, 1  # how long discovery may wait for a change before it responds
 RESPONSE_GRACE_MS = 2500.0  # beyond the hold time; an overloaded discovery responds up to 2 s late
 AGENT_GRACE_MS = 1000.0  # the same for an agent on this machine, which responds at once
-PART_TIMEOUT_MS, MAX_PART_TIMEOUT_MS = (
-    200.0,
-    3200.0,
-)  # for the next part of a response; doubled if late
+# Between two parts of a response. The timeout is doubled each time it is exceeded, up to the maximum.
+PROGRESS_TIMEOUT_MS, MAX_PROGRESS_TIMEOUT_MS = 200.0, 3200.0
 CONNECT_TIMEOUT_MS = 1000.0
 
 # Receives the generation of a list, whether the list is complete, and its entries.
@@ -80,7 +78,7 @@
         self.pace = pace
         self.is_stopped = self.has_partial_response = False
         self.has_failed = False  # the last poll returned no list, so the next one does not wait for a change
-        self.part_timeout_ms = PART_TIMEOUT_MS
+        self.progress_timeout_ms = PROGRESS_TIMEOUT_MS
 
     def start(self) -> None:
         """Start polling: at once if no list is known, else after a random delay, as all limiters may have
@@ -126,7 +124,7 @@
             return
         generation, is_complete, entries = http.read_endpoint_list(response.body)
         self.pace.answered()
-        self.part_timeout_ms = PART_TIMEOUT_MS
+        self.progress_timeout_ms = PROGRESS_TIMEOUT_MS
         if not response.keep:
             connection.close()
         has_changed = is_complete or entries or generation != self.generation
@@ -144,7 +142,7 @@
             self._cancel_response_timeout()
             self.has_partial_response = True
             self.response_timeout = self.reactor.callLater(
-                self.part_timeout_ms / 1000, self.on_response_timeout, connection
+                self.progress_timeout_ms / 1000, self.on_response_timeout, connection
             )
 
     def on_response_timeout(self, connection: DiscoveryConnection) -> None:
@@ -154,7 +152,7 @@
         no response of a slow discovery would ever be received completely."""
         self.log("director", level="warning", what="silent")
         if self.has_partial_response:
-            self.part_timeout_ms = min(MAX_PART_TIMEOUT_MS, 2 * self.part_timeout_ms)
+            self.progress_timeout_ms = min(MAX_PROGRESS_TIMEOUT_MS, 2 * self.progress_timeout_ms)
         connection.abort()
 
     def schedule_reconnect(self, connection: DiscoveryConnection) -> None:
--- a/scalelb/transport/peerlink.py
+++ b/scalelb/transport/peerlink.py
@@ -208,7 +208,7 @@
             connection.send_message(message)
 
     def sweep(self) -> None:
-        """Close links on which nothing was received for long: a cut one would stay open indefinitely."""
+        """Close links on which nothing was received for too long: a cut one would stay open indefinitely."""
         received_before = self.reactor.seconds() - RECEIVE_TIMEOUT_S
         for connection in [c for c in self.established.values() if c.last_received_at < received_before]:
             connection.abort()
