--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -23,7 +23,7 @@
 from scalelb.program.predecessor import Incarnation
 from scalelb.protocol.agentcheck import Status
 from scalelb.transport.admin import AdminListener
-from scalelb.transport.director import DirectorWatch
+from scalelb.transport.director import DiscoveryClient
 from scalelb.transport.pace import PollBackoff
 from scalelb.transport.session import RespListener
 from scalelb.transport.status import StatusFactory
@@ -101,7 +101,7 @@
             config.settings.discovery_silence_ms if config.settings.subscribes_to_endpoints else 0.0
         )
         pace = PollBackoff(config.settings.limiter_count, Random(f"director {config.seed}"), max_silence_ms)
-        self.discovery = DirectorWatch(
+        self.discovery = DiscoveryClient(
             reactor, config.director, config.generation, self.on_endpoint_list, log, pace
         )
         self.has_endpoint_list = False  # whether discovery has answered
@@ -206,7 +206,7 @@
         """Limit sessions and backend connections to `ratio` of what is configured."""
         self.listener.max_sessions = max(1, int(ratio * self.config.max_sessions))
         max_connections = max(1, int(ratio * self.config.max_backend_connections))
-        self.loop.pool.limits = replace(self.loop.pool.limits, connections=max_connections)
+        self.loop.pool.limits = replace(self.loop.pool.limits, max_connections=max_connections)
 
     def hand_over(self) -> None:
         """Hand over to a successor that is ready: stop accepting, leave it the unspent units, and finish the
@@ -217,7 +217,7 @@
         self.incarnation.hand_over(handover)
         if self.peer_connections is not None:
             self.peer_connections.stop()  # The successor binds the same address.
-        self.loop.pool.rest_no_longer()
+        self.loop.pool.close_idle_connections()
         self.halve_connection_limits()
         self.log("relieved", customers=len(handover["customers"]), open=len(self.loop.core.open_requests))
         self.finish()
@@ -296,7 +296,7 @@
         if self.config.known:
             self.loop.apply_endpoint_list(self.config.generation or 0, True, self.config.known)
             self.reactor.callLater(FIRST_LIST_TIMEOUT_S, self.set_ready)
-        self.discovery.begin()
+        self.discovery.start()
         self.reactor.callLater(SWEEP_INTERVAL_S, self.sweep)
         self.reactor.callLater(TALLY_INTERVAL_S, self.log_tally)
 
@@ -368,10 +368,10 @@
             cpu_ms=round(1000 * (cpu_s - self.cpu_s), 1),
             memory_mb=round(usage.ru_maxrss / 1024, 1),
             sessions=len(self.listener.sessions),
-            connections=self.loop.pool.total,
+            connections=self.loop.pool.total_connections,
             open=len(core.open_requests),
             attempts=len(limiter.attempts),  # in flight, by the decision module's count
-            fetches=self.loop.pool.fetching(),  # in flight, by the connection pool's count
+            fetches=self.loop.pool.busy_connections(),  # in flight, by the connection pool's count
             serving=[len(limiter.selector.endpoints), len(self.loop.pool.backends)],
             held=sum(len(t.queue.requests) for t in limiter.scheduler.active.values()),
             let_in=round(limiter.shedder.admission_probability, 3),
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -18,7 +18,14 @@
 from scalelb.policy.settings import IDLE_REUSE_RATIO
 from scalelb.program.config import Config, ConfigError, parse_endpoint
 from scalelb.transport.counter import CounterClient
-from scalelb.transport.fetch import AttemptResult, BackendConnection, Fetch, Piece, Pool, PoolLimits
+from scalelb.transport.fetch import (
+    AttemptResult,
+    BackendConnection,
+    ConnectionPool,
+    OnPiece,
+    PoolLimits,
+    UpstreamAttempt,
+)
 from scalelb.transport.session import RequestPayload
 from scalelb.transport.stream import DelayedCall, Log, Reactor
 
@@ -41,12 +48,12 @@
         self.core = Core(config.settings, config.seed, self, clock, limits, self.on_fault, queue_settings)
         max_per_backend = max(1, config.max_backend_connections // 4)
         pool = PoolLimits(
-            connections=config.max_backend_connections,
-            each=max_per_backend,
-            connect_ms=config.connect_timeout_ms,
-            idle_ms=IDLE_REUSE_RATIO * config.conn_idle_ms,
+            max_connections=config.max_backend_connections,
+            max_connections_per_backend=max_per_backend,
+            connect_timeout_ms=config.connect_timeout_ms,
+            idle_timeout_ms=IDLE_REUSE_RATIO * config.conn_idle_ms,
         )
-        self.pool = Pool(reactor, clock, log, pool)
+        self.pool = ConnectionPool(reactor, clock, log, pool)
         self.counter: CounterClient | None = None
         if config.counter:
             timeout = config.settings.counter_wait_ms
@@ -72,7 +79,7 @@
         attempt_number = request.attempt_number
         session: Any = request.caller
 
-        def on_value_begun(connection: BackendConnection) -> Piece:
+        def on_value_begun(connection: BackendConnection) -> OnPiece:
             self.core.first_byte_forwarded(request)
             session.begin_value(held_request.answer, connection)
             return lambda data: session.send_piece(held_request.answer, data)
@@ -102,25 +109,29 @@
         def on_request_sent() -> None:
             self.metrics.attempts[class_index] += 1
 
-        attempt = self.pool.fetch(
-            endpoint, write_request, on_attempt_ended, left=on_request_sent, begun=on_value_begun
+        attempt = self.pool.start_attempt(
+            endpoint,
+            write_request,
+            on_attempt_ended,
+            on_sent=on_request_sent,
+            on_value_started=on_value_begun,
         )
-        if not attempt.done:
+        if not attempt.is_done:
             request.attempt_handle = attempt
 
     def abandon_attempt(self, request: OpenRequest) -> None:
         """Abandon the attempt in flight."""
         attempt = request.attempt_handle
         request.attempt_handle = None
-        if isinstance(attempt, Fetch):
-            self.pool.drop(attempt)
+        if isinstance(attempt, UpstreamAttempt):
+            self.pool.abandon(attempt)
 
     def add_to_counter(self, counter_key: int, amount: float, retention_ms: float) -> None:
         """Call the counter."""
         if self.counter is None:
             self.core.counter_replied(counter_key, Outcome.CONNECT_FAILED, 0.0, 0.0)
         else:
-            self.counter.count(counter_key, amount, retention_ms)
+            self.counter.add(counter_key, amount, retention_ms)
 
     def check_health(self, endpoint: str) -> None:
         """Query an endpoint for its load report."""
@@ -130,17 +141,19 @@
             elapsed_ms = self.clock() - started_at
             self.core.health_check_ended(endpoint, outcome, elapsed_ms, load_report)
 
-        self.pool.probe(endpoint, on_probe_ended)
+        self.pool.check_health(endpoint, on_probe_ended)
 
     def on_endpoints(self, endpoints: Iterable[Endpoint], is_complete: bool) -> None:
         """Update the connection pool after a change of the endpoint list."""
         changed = list(endpoints)
         for entry in changed:
             if entry.state is not EndpointState.REMOVED:
-                self.pool.name(entry.name, self.addresses[entry.name], entry.state is EndpointState.SERVING)
+                self.pool.update_backend(
+                    entry.name, self.addresses[entry.name], entry.state is EndpointState.SERVING
+                )
         removed = {entry.name for entry in changed if entry.state is EndpointState.REMOVED}
         listed = {entry.name for entry in changed} if is_complete else self.pool.backends.keys()
-        self.pool.keep(listed - removed)
+        self.pool.retain_backends(listed - removed)
 
     def wake_at(self, due_at: float) -> None:
         """Schedule a turn of the core at this time; 0 is at once."""
--- a/scalelb/program/peer_connections.py
+++ b/scalelb/program/peer_connections.py
@@ -66,7 +66,7 @@
 
     def tick(self) -> None:
         """Dial the links and send the frames that are due, and schedule the next tick."""
-        if self.links.closing:
+        if self.links.is_closing:
             return
         self.reactor.callLater(self.replicator.settings.push_ms / 1000, self.tick)
         started_s = time.thread_time()
@@ -76,13 +76,13 @@
             self.log_digest_once_stable()
         for name in self.replicator.links_to_dial(self.random.choice):
             self.links.dial(name)
-        for name, frame in self.peering.tick(self.now(), self.links.ready):
+        for name, frame in self.peering.tick(self.now(), self.links.is_ready):
             self.links.send(name, frame)
         self.cpu_s += time.thread_time() - started_s
 
     def flush(self) -> None:
         """Send this limiter's writes now."""
-        for name, frame in self.replicator.push(self.links.ready):
+        for name, frame in self.replicator.push(self.links.is_ready):
             self.links.send(name, frame)
 
     def log_digest_once_stable(self) -> None:
@@ -122,8 +122,8 @@
     def log_fields(self) -> dict[str, Any]:
         """Return the fields for the tally log line."""
         traffic = {
-            "sent": self.links.sent,
-            "received": self.links.received,
+            "sent": self.links.bytes_sent,
+            "received": self.links.bytes_received,
             "cpu_ms": round(1000 * self.cpu_s, 1),
         }
         return {"peers": {**self.peering.status(self.now()), **traffic}}
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -29,8 +29,8 @@
 def test_attempt_waiting_for_its_connection_is_sent_only_if_still_needed(
     event: str, cancels_attempts: bool
 ) -> None:
-    # Without the check in `BackendConnection.begin` it was sent for a client that had disconnected (if the
-    # settings do not allow cancelling attempts), or to a draining backend.
+    # Without the check in `BackendConnection.write_attempt` it was sent for a client that had disconnected
+    # (if the settings do not allow cancelling attempts), or to a draining backend.
     harness = Harness(backends=1, cancels_attempts=cancels_attempts)
     timeout_ms, steps = EVENTS_WHILE_CONNECTING[event]
     harness.run(f"hold backend\n client send {{call(1, wait={timeout_ms})}}\n director expect GET")
@@ -81,11 +81,11 @@
     [used_peer] = [name for name in harness.net.wires if name.startswith("backend")]
     harness.run(f"{used_peer} send {{SERVED}}\n client expect ok")
     pool = harness.loop.pool
-    pool.limits = replace(pool.limits, connections=1)
+    pool.limits = replace(pool.limits, max_connections=1)
     harness.wire(used_peer).abortConnection = lambda: None  # the transport closes its socket in a later round
     [other] = {"s0", "s1"} - {name for name, backend in pool.backends.items() if backend.idle}
     outcomes: list[str] = []
-    pool.fetch(other, lambda: b"next", lambda result: outcomes.append(result.outcome.value))
+    pool.start_attempt(other, lambda: b"next", lambda result: outcomes.append(result.outcome.value))
     harness.wait(0)
     assert not outcomes
     name = "backend" + other[1].replace("0", "")
@@ -94,7 +94,7 @@
 
 def test_attempt_without_a_free_connection_slot_does_not_eject_its_backend() -> None:
     harness = Harness(backends=1)
-    harness.loop.pool.limits = replace(harness.loop.pool.limits, each=0)
+    harness.loop.pool.limits = replace(harness.loop.pool.limits, max_connections_per_backend=0)
     harness.run("client send {call(1)}")
     [endpoint] = harness.loop.core.limiter.selector.endpoints.values()
     assert (endpoint.connect_failures, endpoint.ejected_until) == (0, 0.0)
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -340,9 +340,9 @@
     retired = [
         wire
         for wire in harness.net.wires.get("backend", [])
-        if not wire.ended and not wire.protocol.backend.listed
+        if not wire.ended and not wire.protocol.backend.is_listed
     ]
-    assert len(limiter.attempts) == pool.fetching() + len(retired)
+    assert len(limiter.attempts) == pool.busy_connections() + len(retired)
     assert sum(c.attempts_in_flight for c in limiter.tenants.tenants.values()) == len(limiter.attempts)
     for tracked in limiter.selector.endpoints.values():
         load = sum(attempt.load for attempt in limiter.attempts.values() if attempt.endpoint is tracked)
@@ -398,7 +398,9 @@
 def test_attempt_waiting_for_a_connection_is_not_sent_when_its_backend_is_removed() -> None:
     harness = Harness(backends=1)
     outcomes: list[str] = []
-    harness.loop.pool.fetch("s0", lambda: b"early", lambda result: outcomes.append(result.outcome.value))
+    harness.loop.pool.start_attempt(
+        "s0", lambda: b"early", lambda result: outcomes.append(result.outcome.value)
+    )
     harness.loop.apply_endpoint_list(2, True, [{**entry(0), "instanceId": "s9"}])
     assert outcomes == ["moot"]  # never sent; not counted as a failure of the backend
     harness.run("wait 5\n backend closed\n backend expect-nothing")
@@ -430,9 +432,9 @@
     assert not harness.listener.sessions
     assert harness.listener.open_request_bytes == 0
     counter: Any = harness.loop.counter
-    assert harness.loop.pool.total == 0
-    assert not counter.open
-    assert not counter.out
+    assert harness.loop.pool.total_connections == 0
+    assert not counter.connections
+    assert not counter.calls_in_flight
 
 
 def test_overloaded_discovery_is_not_called_again_at_once() -> None:
