--- a/scalelb/lab/checkers.py
+++ b/scalelb/lab/checkers.py
@@ -56,7 +56,7 @@
     ]
 
 
-def never_two_out(history: list[Event]) -> list[str]:
+def no_concurrent_attempts(history: list[Event]) -> list[str]:
     """Never two attempts of one request out at once."""
     broken, out, ends = [], dict[str, list[Event]](), defaultdict[Any, list[float]](list)
     for e in history:
@@ -75,7 +75,7 @@
     return broken
 
 
-def no_unsafe_repeat(history: list[Event]) -> list[str]:
+def no_attempt_after_answer(history: list[Event]) -> list[str]:
     """A keyed request is never sent anew after its window, and an id never again once it was answered."""
     answered: dict[str, float] = {}
     broken = []
@@ -87,7 +87,7 @@
     return broken
 
 
-def drains(history: list[Event]) -> list[str]:
+def no_attempt_after_drain(history: list[Event]) -> list[str]:
     """Nothing new a second after the word of a drain."""
     told: dict[str, float] = {}
     for e in history:
@@ -110,12 +110,12 @@
     """Of each customer, over all limiters: what was first sent on stays within `bound` times its quota."""
     return [
         f"{customer}: {sent:g} units of {allowed:.1f} allowed"
-        for customer, (sent, allowed) in use(history, plans).items()
+        for customer, (sent, allowed) in quota_use(history, plans).items()
         if sent > bound * allowed + SLACK
     ]
 
 
-def use(history: list[Event], plans: dict[str, tuple[float, float]]) -> dict[str, tuple[float, float]]:
+def quota_use(history: list[Event], plans: dict[str, tuple[float, float]]) -> dict[str, tuple[float, float]]:
     """Units of each customer that were first sent on, and what rate and burst allow meanwhile."""
     firsts: dict[str, tuple[float, float, str, str]] = {}
     plan_of = {e["customer"]: e["plan"] for e in history if e["what"] == "ask"}
@@ -137,9 +137,9 @@
 CHECKERS: dict[str, tuple[Checker, tuple[str, ...]]] = {
     "one final answer each": (one_answer, ("ask", "answer")),
     "no value of another request": (own_value, ("answer",)),
-    "never two attempts out": (never_two_out, ("take",)),
-    "nothing sent after the answer": (no_unsafe_repeat, ("take", "answer")),
-    "nothing new to who drains": (drains, ("take", "drain")),
+    "never two attempts out": (no_concurrent_attempts, ("take",)),
+    "nothing sent after the answer": (no_attempt_after_answer, ("take", "answer")),
+    "nothing new to who drains": (no_attempt_after_drain, ("take", "drain")),
     "copies equal once quiet": (equal_copies, ("digest",)),
 }
 
--- a/scalelb/lab/cli.py
+++ b/scalelb/lab/cli.py
@@ -15,7 +15,7 @@
 
 from scalelb.lab import model, stage
 from scalelb.lab.experiment import Experiment, ExperimentError, Variant, read_experiment, with_seed
-from scalelb.lab.report import RESULT, ReportError, markdown, table, write_report
+from scalelb.lab.report import RESULT_FILE, ReportError, markdown, table, write_report
 from scalelb.lab.rows import Row, write_rows
 
 
@@ -36,11 +36,11 @@
         read = with_seed(read_experiment(experiment), seed)
         chosen = _chosen(read, only)
         results = [_play(read, variant, out / _folder(variant), virtual) for variant in chosen]
-    except (ExperimentError, stage.StageError) as error:
+    except (ExperimentError, stage.ProcessError) as error:
         raise click.ClickException(str(error)) from None
     how = "the core in virtual time" if virtual else "the real program on loopback"
     result = {"name": read.name, "seconds": read.seconds, "how": how, "variants": [r for r, _ in results]}
-    (out / RESULT).write_bytes(orjson.dumps(result, option=orjson.OPT_INDENT_2))
+    (out / RESULT_FILE).write_bytes(orjson.dumps(result, option=orjson.OPT_INDENT_2))
     click.echo(markdown(table(row for _, rows in results for row in rows)), nl=False)
     click.echo(f"report: {write_report(out)}")
     if broken := [f"{r['name']}: {words}" for r, _ in results for words in r["broken"]]:
--- a/scalelb/lab/experiment.py
+++ b/scalelb/lab/experiment.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from scalelb.admission_queue import AdmissionQueueSettings
-from scalelb.lab.traffic import Arrival, Clients, EveningError, Tenant, draw, read_evening
+from scalelb.lab.traffic import Arrival, Clients, RecordedDayError, TenantGroup, draw, read_recorded_day
 from scalelb.policy.settings import Settings
 from scalelb.program.config import read_admission_queue, read_settings
 from scalelb.program.config_reader import ConfigError, Node, read_toml
@@ -58,7 +58,7 @@
     """One run of an experiment."""
 
     name: str
-    door: bool = True
+    has_admission_queue: bool = True
     without: tuple[str, ...] = ()  # groups of centers that stay away
     limiters: int = 1
     seed: int = 1
@@ -75,12 +75,12 @@
     most_units: float
     fleet: Fleet
     plans: dict[str, dict[str, Any]]
-    tenants: tuple[Tenant, ...]
+    tenants: tuple[TenantGroup, ...]
     clients: Clients
-    door: dict[str, Any]
+    admission_queue: dict[str, Any]
     variants: tuple[Variant, ...]
-    evening: str = ""
-    evening_speed: float = 1.0
+    recorded_day: str = ""
+    recorded_day_speed: float = 1.0
     counter_ms: float = 1.0
     folder: Path = field(default=Path(), compare=False)
 
@@ -113,21 +113,28 @@
         """The settings, read as the program reads them."""
         return read_settings(self.settings_object(variant, index), "settings")
 
-    def door_settings(self, variant: Variant) -> AdmissionQueueSettings | None:
+    def admission_queue_settings(self, variant: Variant) -> AdmissionQueueSettings | None:
         """The door, read as the program reads it."""
-        return read_admission_queue(self.door_object(variant), self.settings(variant), tuple(self.plans))
+        return read_admission_queue(
+            self.admission_queue_object(variant), self.settings(variant), tuple(self.plans)
+        )
 
-    def door_object(self, variant: Variant) -> dict[str, Any]:
+    def admission_queue_object(self, variant: Variant) -> dict[str, Any]:
         """The door's file for a variant."""
-        return {**self.door, "door": {**self.door.get("door", {}), "on": variant.door}}
+        return {
+            **self.admission_queue,
+            "door": {**self.admission_queue.get("door", {}), "on": variant.has_admission_queue},
+        }
 
     def arrivals(self, variant: Variant) -> list[Arrival]:
         """All first tries of a variant."""
-        if self.evening:
-            path = self.folder / self.evening
+        if self.recorded_day:
+            path = self.folder / self.recorded_day
             try:
-                return read_evening(path, list(self.plans), KINDS, variant.limiters, self.evening_speed)
-            except (OSError, EveningError) as error:
+                return read_recorded_day(
+                    path, list(self.plans), KINDS, variant.limiters, self.recorded_day_speed
+                )
+            except (OSError, RecordedDayError) as error:
                 raise ExperimentError(f"{path.name}: evening.file: {error}") from None
         staying = [tenant for tenant in self.tenants if tenant.name not in variant.without]
         return draw(staying, 1000.0 * self.seconds, variant.limiters, variant.seed)
@@ -139,7 +146,7 @@
         experiment = _read(read_toml(path), path)
         for variant in experiment.variants:  # whatever the program itself would refuse is refused now
             experiment.settings(variant)
-            experiment.door_settings(variant)
+            experiment.admission_queue_settings(variant)
         # Guards the memory: before anything is drawn.
         if sum(t.per_s * t.count for t in experiment.tenants) * experiment.seconds > ARRIVALS_MOST:
             raise ConfigError(f"tenants: more than {ARRIVALS_MOST} requests in one variant")
@@ -178,10 +185,10 @@
         plans=plans,
         tenants=tenants,
         clients=_clients(top.node("clients", {})),
-        door=top.node("door", {}).value,
+        admission_queue=top.node("door", {}).value,
         variants=variants,
-        evening=evening.text("file") if evening.value else "",
-        evening_speed=_within(evening, "speed", 0.01, 100.0, 1.0),
+        recorded_day=evening.text("file") if evening.value else "",
+        recorded_day_speed=_within(evening, "speed", 0.01, 100.0, 1.0),
         folder=path.parent,
     )
 
@@ -219,7 +226,7 @@
     }
 
 
-def _tenant(node: Node, plans: tuple[str, ...]) -> Tenant:
+def _tenant(node: Node, plans: tuple[str, ...]) -> TenantGroup:
     _only(node, "name plan per_s count units classes from_s until_s renames")
     plan = node.text("plan", plans[0])
     if plan not in plans:
@@ -230,7 +237,7 @@
     begin, end = node.number("from_s", 0.0, 0.0), node.number("until_s", 0.0, 1e9)
     if begin >= end:
         raise ConfigError(f"{node.at('until_s')}: must be after from_s")
-    return Tenant(
+    return TenantGroup(
         name=node.text("name"),
         per_s=_within(node, "per_s", 0.0, 100_000.0),
         plan=plans.index(plan),
@@ -261,7 +268,7 @@
         raise ConfigError(f"{node.at('without')}: must be names of tenants, not {without!r}")
     return Variant(
         name=node.text("name"),
-        door=node.flag("door", True),
+        has_admission_queue=node.flag("door", True),
         without=tuple(without),
         limiters=int(_within(node, "limiters", 1, LIMITERS_MOST, 1, whole=True)),
         seed=int(_within(node, "seed", 0, 2**31, 1, whole=True)),
--- a/scalelb/lab/faults.py
+++ b/scalelb/lab/faults.py
@@ -21,11 +21,11 @@
 from twisted.internet import error
 from twisted.internet.protocol import ProcessProtocol
 
-from scalelb.lab.checkers import CHECKERS, Event, check, quotas, use
+from scalelb.lab.checkers import CHECKERS, Event, check, quota_use, quotas
 from scalelb.lab.experiment import CLASSES, Experiment, ExperimentError, Fleet, Variant
 from scalelb.lab.relay import Relay, Way
 from scalelb.lab.schedule import Schedule, Step, read_schedule
-from scalelb.lab.stage import toml_words
+from scalelb.lab.stage import toml_text
 from scalelb.lab.traffic import Clients
 from scalelb.protocol import MalformedError, resp
 from scalelb.transport.stream import Dial, Stream
@@ -178,7 +178,7 @@
             }
             link = {"on": self.schedule.linked, "listen": "127.0.0.1:0"}
             words = "".join(f"{key} = {orjson.dumps(value).decode()}\n" for key, value in link.items())
-            (self.out / f"{name}.toml").write_text(words + toml_words({"members": members}))
+            (self.out / f"{name}.toml").write_text(words + toml_text({"members": members}))
         for name in names:
             self.run(name)
 
@@ -406,7 +406,9 @@
             "answers": dict(verdicts),
             "faults": sum(e["what"] == "fault" for e in self.history),
             "lost": sum(e["what"] == "lost" for e in self.history),
-            "use": {c: [u, round(a, 1), round(u / a, 3)] for c, (u, a) in use(self.history, plans).items()},
+            "use": {
+                c: [u, round(a, 1), round(u / a, 3)] for c, (u, a) in quota_use(self.history, plans).items()
+            },
         }
         with (self.out / "history.jsonl").open("wb") as file:
             file.writelines(orjson.dumps(event) + b"\n" for event in self.history)
--- a/scalelb/lab/model.py
+++ b/scalelb/lab/model.py
@@ -327,7 +327,7 @@
     world = World(
         experiment.settings(variant),
         seed=variant.seed,
-        door=experiment.door_settings(variant),
+        door=experiment.admission_queue_settings(variant),
         fleet=fleet,
         clients=experiment.clients,
         name=variant.name,
--- a/scalelb/lab/report.py
+++ b/scalelb/lab/report.py
@@ -18,7 +18,7 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot
 
-RESULT = "result.json"
+RESULT_FILE = "result.json"
 STEP_MS = 500.0  # of the charts over time
 
 
@@ -146,9 +146,9 @@
 def write_report(out: Path) -> Path:
     """Read what `out` holds; write `report.html`, `table.md` and the charts there.  Returns the page."""
     try:
-        result = orjson.loads((out / RESULT).read_bytes())
+        result = orjson.loads((out / RESULT_FILE).read_bytes())
     except (OSError, orjson.JSONDecodeError):
-        raise ReportError(f"{out}: no {RESULT} to report on") from None
+        raise ReportError(f"{out}: no {RESULT_FILE} to report on") from None
     rows: list[Row] = []
     for name in result["variants"]:
         rows += read_rows(out / name["folder"] / "rows.parquet")
--- a/scalelb/lab/snapshot_transfer.py
+++ b/scalelb/lab/snapshot_transfer.py
@@ -20,7 +20,7 @@
 from twisted.internet.protocol import ProcessProtocol
 
 from scalelb.lab.experiment import CLASSES, Experiment, Fleet, Variant
-from scalelb.lab.stage import toml_words
+from scalelb.lab.stage import toml_text
 from scalelb.lab.traffic import Clients
 from scalelb.replication import Incarnation, ReplicationSettings, Replicator
 from scalelb.transport.peerlink import PeerLinks
@@ -104,7 +104,7 @@
         )  # fmt: skip
         self.port = self.reactor.listenTCP(0, self.links, 16, "127.0.0.1").getHost().port
         members = {"members": {"n0": "127.0.0.1:0", "n1": f"127.0.0.1:{self.port}"}}
-        words = 'on = true\nlisten = "127.0.0.1:0"\n' + toml_words(members)
+        words = 'on = true\nlisten = "127.0.0.1:0"\n' + toml_text(members)
         (self.out / "n0.toml").write_text(words)
         self.tick()
         more = {"EDGE_CONFIG": str(self.out / "n0.json"), "SCALELB_PEERS": str(self.out / "n0.toml")}
--- a/scalelb/lab/soak.py
+++ b/scalelb/lab/soak.py
@@ -28,7 +28,7 @@
 from scalelb.lab.experiment import CLASSES, Experiment, Fleet, Variant
 from scalelb.lab.soak_clients import SoakClient
 from scalelb.lab.soak_plan import DECKS, LAST, Ending, SoakPlan, Trouble, draw_plan
-from scalelb.lab.stage import toml_words
+from scalelb.lab.stage import toml_text
 from scalelb.lab.traffic import Clients
 from scalelb.transport.stream import Dial, Stream
 
@@ -181,7 +181,7 @@
             (self.out / f"{name}.json").write_bytes(orjson.dumps(self.configuration(index)))
             links = {"on": self.plan.linked, "listen": peers[name]}
             words = "".join(f"{key} = {orjson.dumps(value).decode()}\n" for key, value in links.items())
-            (self.out / f"{name}.toml").write_text(words + toml_words({"members": peers}))
+            (self.out / f"{name}.toml").write_text(words + toml_text({"members": peers}))
         if self.plan.has_successor:
             held = self.sockets[self.names[0]] = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
             self.ports[self.names[0]] = held.getsockname()[1]
--- a/scalelb/lab/soak_checks.py
+++ b/scalelb/lab/soak_checks.py
@@ -20,7 +20,7 @@
 from collections import Counter, defaultdict
 from typing import Any
 
-from scalelb.lab.checkers import never_two_out, no_unsafe_repeat, own_value
+from scalelb.lab.checkers import no_attempt_after_answer, no_concurrent_attempts, own_value
 
 Event = dict[str, Any]
 LINGER_MS = 700.0  # after SIGTERM, that what comes may be open at the kill
@@ -182,8 +182,8 @@
         "no connection ended under a request": read_and_lost(soak),
         "nothing open at its own end": unanswered_by_itself(soak),
         "no value of another request": own_value(history),
-        "never two attempts out": never_two_out(history),
-        "nothing sent after the answer": no_unsafe_repeat(history),
+        "never two attempts out": no_concurrent_attempts(history),
+        "nothing sent after the answer": no_attempt_after_answer(history),
         "ends with 0 or by the kill": exits(soak),
         "ready in time": starts(soak),
         "no fault": logs(soak),
--- a/scalelb/lab/stage.py
+++ b/scalelb/lab/stage.py
@@ -23,7 +23,7 @@
 
 from scalelb.lab.experiment import CLASSES, KINDS, Experiment, Variant
 from scalelb.lab.rows import Row, read_rows
-from scalelb.lab.standins import speeds
+from scalelb.lab.standins import draw_speeds
 
 READY_S, STOP_S, ANSWER_S = 15.0, 12.0, 5.0  # a process may take to be ready, to stop, to answer
 OF_DECKS = ("twice", "malformed", "after_drain")  # what breaks a rule, as stand-ins and load count it
@@ -31,12 +31,12 @@
 Progress = Callable[[float], None]
 
 
-class StageError(Exception):
+class ProcessError(Exception):
     """A process did not do what it should; the message names it."""
 
 
 @dataclass
-class Played:
+class VariantResult:
     """What one variant came to."""
 
     variant: str
@@ -69,7 +69,7 @@
 
 def play(
     experiment: Experiment, variant: Variant, out: Path, progress: Progress = lambda part: None
-) -> Played:
+) -> VariantResult:
     """Run a variant; rows, logs and configuration stay in `out`."""
     out.mkdir(parents=True, exist_ok=True)
     with ExitStack() as stack:
@@ -89,11 +89,11 @@
         for index, limiter in enumerate(limiters):
             try:
                 if limiter.wait(STOP_S):
-                    raise StageError(f"limiter {index}: ended with status {limiter.returncode}")
+                    raise ProcessError(f"limiter {index}: ended with status {limiter.returncode}")
             except subprocess.TimeoutExpired:
-                raise StageError(f"limiter {index}: did not stop") from None
+                raise ProcessError(f"limiter {index}: did not stop") from None
     measured = [_measured(out / f"limiter-{index}.log") for index in range(variant.limiters)]
-    played = Played(variant.name, read_rows(out / "rows.parquet"), told, seen, measured)
+    played = VariantResult(variant.name, read_rows(out / "rows.parquet"), told, seen, measured)
     found = {"load": told, "standins": seen, "limiters": measured, "broken": played.broken()}
     (out / "seen.json").write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2))
     return played
@@ -101,7 +101,7 @@
 
 def _standins(experiment: Experiment, variant: Variant) -> Any:
     fleet = experiment.fleet
-    drawn = speeds(fleet.servers, *fleet.speeds, variant.seed)
+    drawn = draw_speeds(fleet.servers, *fleet.speeds, variant.seed)
     plan = {
         "decks": [
             {
@@ -134,7 +134,7 @@
     }  # fmt: skip
     (out / f"limiter-{index}.json").write_bytes(orjson.dumps(config, option=orjson.OPT_INDENT_2))
     door = out / "fairness.toml"
-    door.write_text(toml_words(experiment.door_object(variant)))
+    door.write_text(toml_text(experiment.admission_queue_object(variant)))
     environment = {
         **{name: value for name, value in os.environ.items() if not name.startswith(("EDGE_", "SCALELB_"))},
         "EDGE_CONFIG": str(out / f"limiter-{index}.json"),
@@ -150,7 +150,7 @@
     return started()
 
 
-def toml_words(tables: dict[str, dict[str, Any]]) -> str:
+def toml_text(tables: dict[str, dict[str, Any]]) -> str:
     """Tables of plain values as TOML."""
     lines: list[str] = []
     for name, table in tables.items():
@@ -169,9 +169,9 @@
             if event.get("event") == "ready" and port:
                 return f"127.0.0.1:{port}"
         if limiter.poll() is not None:
-            raise StageError(f"limiter {index}: ended at its start; see {log}")
+            raise ProcessError(f"limiter {index}: ended at its start; see {log}")
         time.sleep(0.02)
-    raise StageError(f"limiter {index}: not ready after {READY_S:g} s; see {log}")
+    raise ProcessError(f"limiter {index}: not ready after {READY_S:g} s; see {log}")
 
 
 def events(log: Path) -> list[dict[str, Any]]:
@@ -222,10 +222,10 @@
     """The next line that a process writes."""
     assert of.stdout is not None
     if not select.select([of.stdout], [], [], seconds)[0]:
-        raise StageError(f"{name}: said nothing for {seconds:.0f} s")
+        raise ProcessError(f"{name}: said nothing for {seconds:.0f} s")
     line = of.stdout.readline()
     if not line:
-        raise StageError(f"{name}: ended with status {of.wait()}")
+        raise ProcessError(f"{name}: ended with status {of.wait()}")
     return orjson.loads(line)
 
 
--- a/scalelb/lab/standins.py
+++ b/scalelb/lab/standins.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class DeckSpec:
+class BackendSpec:
     """One deck server: its cores, their speed, its waiting room, and whether it starts with the run."""
 
     name: str
@@ -54,7 +54,7 @@
     `used_percent` of 0 or more, it tells that use of the customer's quota.
     """
 
-    decks: tuple[DeckSpec, ...]
+    backends: tuple[BackendSpec, ...]
     work_ms: dict[str, float]
     counter_ms: float = 1.0
     record: bool = False  # keep every attempt that was seen
@@ -64,7 +64,7 @@
     @classmethod
     def read(cls, options: dict[str, Any]) -> Plan:
         """From JSON."""
-        decks = tuple(DeckSpec(**deck) for deck in options["decks"])
+        decks = tuple(BackendSpec(**deck) for deck in options["decks"])
         more = options.get("counter_ms", 1.0), options.get("record", False)
         figures = options.get("true_per_guess", 0.0), options.get("used_percent", -1.0)
         return cls(decks, options["work_ms"], *more, *figures)
@@ -81,20 +81,20 @@
 class Job:
     """A request that a deck server has taken."""
 
-    session: DeckSession
+    session: BackendSession
     ident: bytes
     work_ms: float
     units: float = 0.0  # by the client's guess
     reply: bytes = b""  # once it is done
 
 
-class Deck(ServerFactory):
+class Backend(ServerFactory):
     """A deck server.  Its cores serve one request each, in the order of arrival; on a connection, answers
     come in the order of the commands."""
 
     noisy = False
 
-    def __init__(self, reactor: Any, spec: DeckSpec, plan: Plan) -> None:
+    def __init__(self, reactor: Any, spec: BackendSpec, plan: Plan) -> None:
         self.reactor, self.spec, self.plan = reactor, spec, plan
         self.work_ms = {name.encode(): ms for name, ms in plan.work_ms.items()}
         self.started = reactor.seconds()
@@ -106,7 +106,7 @@
         self.drained_at = 0.0
         self.seen: list[dict[str, Any]] | None = None  # attempts and their ends, where they are kept
         self.sessions = 0
-        self.open_sessions: set[DeckSession] = set()
+        self.open_sessions: set[BackendSession] = set()
         self.hangs = False  # answers nothing
 
     def become(self, hangs: bool) -> None:
@@ -120,10 +120,10 @@
         for session in list(self.open_sessions):
             session.abort()
 
-    def buildProtocol(self, addr: Any) -> DeckSession:  # noqa: N802
+    def buildProtocol(self, addr: Any) -> BackendSession:  # noqa: N802
         """A limiter connects."""
         self.sessions += 1
-        return DeckSession(self)
+        return BackendSession(self)
 
     def note(self, what: str, job: Job, **more: Any) -> None:
         """Keep what was seen of an attempt."""
@@ -138,7 +138,7 @@
         age: float = min(1.0, 1000.0 * (self.reactor.seconds() - self.started) / spec.cold_ms)
         return spec.speed * (spec.cold_from + (1.0 - spec.cold_from) * age)
 
-    def take(self, session: DeckSession, call: resp.Call) -> Job:
+    def take(self, session: BackendSession, call: resp.Call) -> Job:
         """A whole command has come."""
         work_ms = call.units * self.work_ms.get(call.kind.encode(), 1.0)
         job = Job(session, call.ident, work_ms, call.units)
@@ -188,10 +188,10 @@
             del self.inside[job.ident]
 
 
-class DeckSession(Stream):
+class BackendSession(Stream):
     """One connection of a limiter."""
 
-    def __init__(self, deck: Deck) -> None:
+    def __init__(self, deck: Backend) -> None:
         self.deck, self.reader = deck, resp.CommandReader()
         self.number = deck.sessions
         self.order: deque[Job] = deque()
@@ -307,7 +307,7 @@
 
 
 @dataclass(eq=False)
-class Director(Factory):
+class Discovery(Factory):
     """The director: the whole list, or a watch that is answered once something changes."""
 
     reactor: Any
@@ -366,11 +366,11 @@
 
     def __init__(self, reactor: Any, plan: Plan) -> None:
         self.reactor = reactor
-        self.decks = {spec.name: Deck(reactor, spec, plan) for spec in plan.decks}
+        self.decks = {spec.name: Backend(reactor, spec, plan) for spec in plan.backends}
         self.seen: list[dict[str, Any]] = []
         for deck in self.decks.values():
             deck.seen = self.seen if plan.record else None
-        self.counter, self.director = Counter(reactor, plan.counter_ms), Director(reactor)
+        self.counter, self.director = Counter(reactor, plan.counter_ms), Discovery(reactor)
         self.addresses: dict[str, Any] = {}
 
     def listen(self, unix_ms: float) -> dict[str, Any]:
@@ -442,7 +442,7 @@
             self.reactor.stop()
 
 
-def speeds(count: int, least: float, most: float, seed: int) -> list[float]:
+def draw_speeds(count: int, least: float, most: float, seed: int) -> list[float]:
     """The speeds of a fleet's cores."""
     drawn = random.Random(seed)
     return [round(drawn.uniform(least, most), 3) for _ in range(count)]
--- a/scalelb/lab/traffic.py
+++ b/scalelb/lab/traffic.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Tenant:
+class TenantGroup:
     """Some centers of one plan that ask alike: how many requests a second each, and what they are."""
 
     name: str
@@ -55,7 +55,7 @@
     limiter: int
 
 
-def draw(tenants: Iterable[Tenant], ms: float, limiters: int, seed: int) -> list[Arrival]:
+def draw(tenants: Iterable[TenantGroup], ms: float, limiters: int, seed: int) -> list[Arrival]:
     """All first tries of so much time, in order.  Each group of centers has a random stream of its own, so
     that leaving one out changes nothing for the others."""
     found: list[Arrival] = []
@@ -82,11 +82,11 @@
     return sorted(found, key=lambda a: a.at_ms)
 
 
-class EveningError(ValueError):
+class RecordedDayError(ValueError):
     """A recorded evening that can't be read; the message names the line."""
 
 
-def read_evening(
+def read_recorded_day(
     path: Path, plans: Sequence[str], kinds: Sequence[str], limiters: int, speed: float = 1.0
 ) -> list[Arrival]:
     """A recorded evening: a table with the columns at_ms, customer (hex), plan, class, units."""
@@ -97,9 +97,9 @@
                 customer, units, at = int(row["customer"], 16), float(row["units"]), float(row["at_ms"])
                 plan, kind = plans.index(row["plan"]), kinds.index(row["class"])
             except (KeyError, ValueError, TypeError) as error:
-                raise EveningError(f"{path.name}, line {line}: {error}") from None
+                raise RecordedDayError(f"{path.name}, line {line}: {error}") from None
             if not (0 < customer < CUSTOMER_MOST and 0 < units < 1e6 and 0 <= at < 1e9):
-                raise EveningError(f"{path.name}, line {line}: a figure is out of range")
+                raise RecordedDayError(f"{path.name}, line {line}: a figure is out of range")
             through = line % limiters
             found.append(Arrival(at / speed, row["plan"], customer, plan, kind, units, through))
     return sorted(found, key=lambda a: a.at_ms)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from scalelb.lab.checkers import CHECKERS, check, quotas, use
+from scalelb.lab.checkers import CHECKERS, check, quota_use, quotas
 from scalelb.lab.experiment import ExperimentError
 from scalelb.lab.flock import Delays
 from scalelb.lab.schedule import Schedule, read_schedule
@@ -145,7 +145,7 @@
     - where a counting window turns under load, no limiter learns what each of the others took since its last
       answer of the counter, one request, as an empty bucket lets no more pass between two answers."""
     run.play()
-    found = use(run.history, {PLAN: (schedule.rate, schedule.burst)})
+    found = quota_use(run.history, {PLAN: (schedule.rate, schedule.burst)})
     assert len(found) == schedule.customers
     sent_at = [e["at"] for e in run.history if e["what"] == "take"]
     turns = max(sent_at) // WINDOW_MS - min(sent_at) // WINDOW_MS
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,7 +16,7 @@
 from scalelb.lab.experiment import ExperimentError, read_experiment
 from scalelb.lab.report import ReportError, table, write_report
 from scalelb.lab.rows import Row, histogram, percentile, read_rows, write_rows
-from scalelb.lab.traffic import read_evening
+from scalelb.lab.traffic import read_recorded_day
 
 GOOD = """
 seconds = 1.5
@@ -108,7 +108,10 @@
 def test_broken_rules_are_named() -> None:
     decks = {"deck-0": {"twice": 1, "malformed": 0, "after_drain": 0}}
     load = {"wrong": 0, "malformed": 0, "unanswered": 2}
-    assert stage.Played("v", [], load, {"decks": decks}).broken() == ["deck-0: twice 1", "load: unanswered 2"]
+    assert stage.VariantResult("v", [], load, {"decks": decks}).broken() == [
+        "deck-0: twice 1",
+        "load: unanswered 2",
+    ]
 
 
 def test_rows_and_histograms_come_back_as_they_were(tmp_path: Path) -> None:
@@ -122,13 +125,15 @@
 
 
 def test_a_recorded_evening_is_read_and_a_bad_line_is_named(tmp_path: Path) -> None:
-    found = read_evening(EVENING, ["basic", "standard", "campus"], ["fetch-cards", "record-answer"], 3, 2.0)
+    found = read_recorded_day(
+        EVENING, ["basic", "standard", "campus"], ["fetch-cards", "record-answer"], 3, 2.0
+    )
     assert len(found) == 1572
     assert found[0].at_ms <= found[-1].at_ms
     bad = tmp_path / "evening.csv"
     bad.write_text("at_ms,customer,plan,class,units\n1,1,basic,fetch-cards,1\n2,zz,basic,fetch-cards,1\n")
     with pytest.raises(ValueError, match=r"evening.csv, line 3"):
-        read_evening(bad, ["basic"], ["fetch-cards"], 1)
+        read_recorded_day(bad, ["basic"], ["fetch-cards"], 1)
 
 
 @pytest.mark.parametrize(
@@ -143,7 +148,7 @@
     deck = {"name": "d0", "cores": 1, "speed": 1.0, "room": 1}
     plan = standins.Plan.read({"decks": [deck], "work_ms": {"fetch-cards": 1.0}, **asked})
     clock, transport = Clock(), StringTransport()  # type: ignore[no-untyped-call]
-    session = standins.Deck(clock, plan.decks[0], plan).buildProtocol(None)
+    session = standins.Backend(clock, plan.backends[0], plan).buildProtocol(None)
     session.makeConnection(transport)  # type: ignore[no-untyped-call]
     session.rawDataReceived(call(1, units=4).replace("\n", "\r\n").encode())
     clock.advance(1.0)
