--- a/scalelb/lab/__init__.py
+++ b/scalelb/lab/__init__.py
@@ -1,6 +1,6 @@
-"""The lab: stand-ins, load and experiments that measure the limiter.  An extra of its own; `run` needs none
-of it.
+"""The laboratory: stand-ins, load and experiments that measure the limiter.
 
-`model` hosts the real core in virtual time; `standins`, `load` and `stage` drive the real program on
-loopback; `rows` and `report` keep what was measured.
+It is an optional extra; the limiter itself does not import it. `model` runs the real core in virtual time;
+`standins`, `load` and `stage` run the real program on loopback; `rows` and `report` store and report the
+measurements.
 """
--- a/scalelb/lab/load.py
+++ b/scalelb/lab/load.py
@@ -1,8 +1,9 @@
-"""An open-loop load: sends each try at its time over RESP2, however late earlier answers are.
+"""An open-loop load generator: sends each request at its time over RESP2, however late earlier answers are.
 
-`python -m scalelb.lab.load` reads one JSON object from standard input: limiters, arrivals, clients' ways,
-where to keep the rows.  A request goes on an idle connection or a new one, never behind another.  Latencies
-count from when a request was due, so a load that itself runs late shows.
+`python -m scalelb.lab.load` reads one JSON object from standard input: limiters, arrivals, the behaviour of
+the clients, and the file for the rows.  A request is sent on an idle connection or on a new one, never behind
+another request.  Latencies are measured from the time at which a request was due, so that delays of the load
+generator itself are visible.
 """
 
 from __future__ import annotations
@@ -22,37 +23,37 @@
 from scalelb.protocol import MalformedError, resp
 from scalelb.transport.stream import Dial, Stream, host_port
 
-CONNECTIONS_MOST = 400  # to one limiter
-GRACE_MS = 200.0  # after a client has given up, in which no answer is a lost one
-REPORT_S = 0.5
+MAX_CONNECTIONS = 400  # to one limiter
+ANSWER_GRACE_MS = 200.0  # after a request's deadline, before it counts as unanswered
+REPORT_INTERVAL_S = 0.5
 
 
-class Wire(Stream):
-    """One connection to a limiter; one try at a time."""
+class Connection(Stream):
+    """One connection to a limiter, with one request at a time."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool, self.ident = pool, b""
         self.reader = resp.ReplyReader()
         self.row: Row | None = None
-        self.up = False
+        self.is_open = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """The connection is up."""
+        """Take the next request of the pool."""
         super().connectionMade()
-        self.up = True
-        self.pool.ready(self)
+        self.is_open = True
+        self.pool.assign(self)
 
-    def ask(self, row: Row, ident: int, wire: bytes) -> None:
-        """Send one try."""
+    def send_request(self, row: Row, ident: int, command: bytes) -> None:
+        """Send one request."""
         self.row, self.ident = row, b"%016x" % ident
-        self.send(wire)
+        self.send(command)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Bytes of the limiter."""
+        """Read the answer of the limiter."""
         try:
             reply = self.reader.read(data)
         except MalformedError:
-            self.pool.load.broken["malformed"] += 1
+            self.pool.load.violations["malformed"] += 1
             self.abort()
             return
         if reply is None or self.row is None:
@@ -62,132 +63,141 @@
         if reply.value is not None:
             server, _, made_for = bytes(reply.value).split(b"\r\n")[1].partition(b" ")
             row.server = server.decode("ascii", "replace")
-            self.pool.load.answered(row, "served" if made_for == self.ident else "wrong", 0.0)
+            self.pool.load.on_answer(row, "served" if made_for == self.ident else "wrong", 0.0)
         elif reply.line.startswith(b"-BUSY"):
-            told = reply.line[5:].strip()
-            self.pool.load.answered(row, "refused", float(told) if told.isdigit() else 0.0)
+            retry_after = reply.line[5:].strip()
+            self.pool.load.on_answer(row, "refused", float(retry_after) if retry_after.isdigit() else 0.0)
         else:
-            self.pool.load.answered(row, "failed", 0.0)
-        self.pool.free(self)
+            self.pool.load.on_answer(row, "failed", 0.0)
+        self.pool.release(self)
 
     def lost(self) -> None:
-        """The limiter has ended it: what crossed its close is sent once more, once (as the protocol says)."""
-        self.pool.gone(self)
+        """Remove the connection from the pool, which sends an unanswered request once more."""
+        self.pool.on_connection_lost(self)
 
 
-class Pool:
-    """Connections to one limiter."""
+class ConnectionPool:
+    """The connections to one limiter."""
 
     def __init__(self, load: Load, address: str) -> None:
         self.load = load
         self.host, self.port = host_port(address)
-        self.idle: list[Wire] = []
-        self.opening: deque[tuple[Row, int, bytes]] = deque()
-        self.count = 0
-        self.again: set[int] = set()
+        self.idle: list[Connection] = []
+        self.unsent: deque[tuple[Row, int, bytes]] = deque()  # requests that wait for a connection
+        self.connection_count = 0
+        self.resent: set[int] = set()  # ids of requests
 
-    def send(self, row: Row, ident: int, wire: bytes) -> None:
-        """Send a try on an idle connection, or open one."""
+    def send(self, row: Row, ident: int, command: bytes) -> None:
+        """Send a request on an idle connection, or open one."""
         while self.idle:
-            found = self.idle.pop()
-            if not found.gone:
-                found.ask(row, ident, wire)
+            connection = self.idle.pop()
+            if not connection.gone:
+                connection.send_request(row, ident, command)
                 return
-        self.opening.append((row, ident, wire))
-        if self.count < CONNECTIONS_MOST:
-            self.count += 1
-            self.load.reactor.connectTCP(self.host, self.port, Dial(Wire(self), self.refused), timeout=2)
-
-    def ready(self, wire: Wire) -> None:
-        """A connection is up or free."""
-        if self.opening:
-            wire.ask(*self.opening.popleft())
+        self.unsent.append((row, ident, command))
+        if self.connection_count < MAX_CONNECTIONS:
+            self.connection_count += 1
+            self.load.reactor.connectTCP(
+                self.host, self.port, Dial(Connection(self), self.on_connect_failed), timeout=2
+            )
+
+    def assign(self, connection: Connection) -> None:
+        """Send the next waiting request on an open connection without a request, or keep it as idle."""
+        if self.unsent:
+            connection.send_request(*self.unsent.popleft())
         else:
-            self.idle.append(wire)
-
-    free = ready
-
-    def refused(self) -> None:
-        """One never came up."""
-        self.count -= 1
-        if self.opening:
-            row, _, _ = self.opening.popleft()
-            self.load.answered(row, "failed", 0.0)
-
-    def gone(self, wire: Wire) -> None:
-        """One has ended."""
-        self.count -= 1
-        if wire in self.idle:
-            self.idle.remove(wire)
-        if (row := wire.row) is None:
+            self.idle.append(connection)
+
+    release = assign
+
+    def on_connect_failed(self) -> None:
+        """Fail one waiting request when a connection could not be opened."""
+        self.connection_count -= 1
+        if self.unsent:
+            row, _, _ = self.unsent.popleft()
+            self.load.on_answer(row, "failed", 0.0)
+
+    def on_connection_lost(self, connection: Connection) -> None:
+        """Send the request of a closed connection once more, but only once.
+
+        As the protocol says, a request may cross the limiter's close of the connection."""
+        self.connection_count -= 1
+        if connection in self.idle:
+            self.idle.remove(connection)
+        if (row := connection.row) is None:
             return
-        wire.row = None
-        ident = int(wire.ident, 16)
-        if ident in self.again:
-            self.load.answered(row, "failed", 0.0)
+        connection.row = None
+        ident = int(connection.ident, 16)
+        if ident in self.resent:
+            self.load.on_answer(row, "failed", 0.0)
         else:
-            self.again.add(ident)
-            self.send(row, ident, self.load.words(row, ident))
+            self.resent.add(ident)
+            self.send(row, ident, self.load.encode(row, ident))
 
 
 class Load:
-    """All tries of one run."""
+    """All requests of one run."""
 
     def __init__(self, reactor: Any, options: dict[str, Any]) -> None:
         self.reactor = reactor
         self.kinds: list[dict[str, Any]] = options["classes"]
         self.plans: list[str] = options["plans"]
         self.clients = Clients(**options["clients"])
-        self.variant, self.most_ms = options["variant"], options["max_retry_after_ms"]
+        self.variant, self.max_retry_after_ms = options["variant"], options["max_retry_after_ms"]
         self.arrivals = [Arrival(*a) for a in options["arrivals"]]
         self.until_ms = options["until_ms"]
         self.out = Path(options["out"])
-        self.pools = [Pool(self, address) for address in options["limiters"]]
+        self.pools = [ConnectionPool(self, address) for address in options["limiters"]]
         self.rows: list[Row] = []
         self.random = random.Random(options["seed"])
-        self.ident = self.random.getrandbits(40) << 20
-        self.began = 0.0
-        self.broken = {"malformed": 0, "wrong": 0}
-        self.open = 0
+        self.ident = self.random.getrandbits(40) << 20  # of the latest request
+        self.started_at = 0.0
+        self.violations = {"malformed": 0, "wrong": 0}
+        self.open_count = 0
 
     def now(self) -> float:
-        """Milliseconds from the start."""
-        return (time.monotonic() - self.began) * 1000.0
+        """Return the milliseconds since the start."""
+        return (time.monotonic() - self.started_at) * 1000.0
 
     def start(self) -> None:
-        """Go on from the first arrival to the last, and then until all is answered."""
-        self.began = time.monotonic()
-        self.place = 0
-        self._next()
+        """Start sending the arrivals; schedule the end and the progress reports."""
+        self.started_at = time.monotonic()
+        self.next_index = 0
+        self._send_due()
         self.reactor.callLater(self.until_ms / 1000.0, self.finish)
-        self.reactor.callLater(REPORT_S, self._report)
+        self.reactor.callLater(REPORT_INTERVAL_S, self._report)
 
-    def _next(self) -> None:
+    def _send_due(self) -> None:
         now = self.now()
-        while self.place < len(self.arrivals) and self.arrivals[self.place].at_ms <= now:
-            a = self.arrivals[self.place]
-            self.place += 1
-            self._ask(Row(self.variant, a.group, a.customer, a.limiter, a.kind, a.plan, a.units, 0, a.at_ms))
-        if self.place < len(self.arrivals):
-            wait = max(0.0, self.arrivals[self.place].at_ms - self.now())
-            self.reactor.callLater(wait / 1000.0, self._next)
-
-    def _ask(self, row: Row) -> None:
+        while self.next_index < len(self.arrivals) and self.arrivals[self.next_index].at_ms <= now:
+            arrival = self.arrivals[self.next_index]
+            self.next_index += 1
+            self._send(
+                Row(
+                    self.variant, arrival.group, arrival.customer, arrival.limiter, arrival.kind,
+                    arrival.plan, arrival.units, 0, arrival.at_ms,
+                )
+            )  # fmt: skip
+        if self.next_index < len(self.arrivals):
+            wait_ms = max(0.0, self.arrivals[self.next_index].at_ms - self.now())
+            self.reactor.callLater(wait_ms / 1000.0, self._send_due)
+
+    def _send(self, row: Row) -> None:
         self.ident += 1
         row.at = self.now()
         self.rows.append(row)
-        self.open += 1
-        self.pools[row.limiter].send(row, self.ident, self.words(row, self.ident))
+        self.open_count += 1
+        self.pools[row.limiter].send(row, self.ident, self.encode(row, self.ident))
 
-    def words(self, row: Row, ident: int) -> bytes:
-        """The command of one try."""
+    def encode(self, row: Row, ident: int) -> bytes:
+        """Return the command of a request, with the time that is left until its deadline."""
         kind = self.kinds[row.kind]
-        wait = max(1, int(kind["hard-limit-ms"] - max(0.0, self.now() - row.due)))
+        wait_ms = max(1, int(kind["hard-limit-ms"] - max(0.0, self.now() - row.due)))
         row.key = row.key or f"{self.random.getrandbits(64):016x}"
         key = f",k={row.key}" if kind["effect"] == "keyed" else ""
-        again = ",r=1" if row.number else ""
+        retry_mark = ",r=1" if row.number else ""
         values = (
-            f"c={kind['name']},t={self.plans[row.plan]},d={wait}{key}{again},"
+            f"c={kind['name']},t={self.plans[row.plan]},d={wait_ms}{key}{retry_mark},"
             f"units={int(row.units)},spread={len(self.pools)},first=0"
         )
         name = "CALL.GET" if kind["effect"] == "safe" else "CALL.POST"
@@ -198,44 +208,46 @@
             b"$%d\r\n%s\r\n" % (len(part), part.encode()) for part in parts
         )
 
-    def answered(self, row: Row, verdict: str, retry_after_ms: float) -> None:
-        """The final answer of one try; a client that obeys comes back once it may."""
+    def on_answer(self, row: Row, verdict: str, retry_after_ms: float) -> None:
+        """Record the final answer to a request; schedule the retry of a client that obeys Retry-After."""
         row.ended, row.verdict, row.retry_after_ms = self.now(), verdict, retry_after_ms
-        self.open -= 1
+        self.open_count -= 1
         if verdict == "wrong":
-            self.broken["wrong"] += 1
+            self.violations["wrong"] += 1
         if verdict != "refused":
             return
-        row.told_beyond = retry_after_ms >= self.most_ms
+        row.told_beyond = retry_after_ms >= self.max_retry_after_ms
         if self.clients.obey and row.number + 1 < self.clients.tries and retry_after_ms:
             limiter = row.limiter
             if len(self.pools) > 1 and self.random.random() < self.clients.stray:
                 limiter = self.random.randrange(len(self.pools))
             due = row.ended + retry_after_ms + self.random.uniform(0.0, self.clients.jitter_ms)
-            again = replace(
+            retry = replace(
                 row, limiter=limiter, number=row.number + 1, due=due, at=-1.0, ended=-1.0, verdict="",
                 retry_after_ms=0.0, server="",
             )  # fmt: skip
-            self.reactor.callLater(max(0.0, due - self.now()) / 1000.0, self._ask, again)
+            self.reactor.callLater(max(0.0, due - self.now()) / 1000.0, self._send, retry)
 
     def _report(self) -> None:
-        told = {"at": round(self.now()), "sent": len(self.rows), "open": self.open}
-        print(orjson.dumps(told).decode(), flush=True)
-        self.reactor.callLater(REPORT_S, self._report)
+        progress = {"at": round(self.now()), "sent": len(self.rows), "open": self.open_count}
+        print(orjson.dumps(progress).decode(), flush=True)
+        self.reactor.callLater(REPORT_INTERVAL_S, self._report)
 
     def finish(self) -> None:
-        """Keep the rows and end.  Who is still owed an answer past its time has none."""
+        """Write the rows and the final report.
+
+        A request without an answer counts as unanswered only after its deadline and the grace period."""
         write_rows(self.out, self.rows)
-        lost = sum(
-            not row.verdict and self.now() > row.due + self.kinds[row.kind]["hard-limit-ms"] + GRACE_MS
+        unanswered = sum(
+            not row.verdict and self.now() > row.due + self.kinds[row.kind]["hard-limit-ms"] + ANSWER_GRACE_MS
             for row in self.rows
         )
-        late = sorted(row.at - row.due for row in self.rows)
-        told = {
-            "done": True, "tries": len(self.rows), "unanswered": lost, **self.broken,
-            "late_p99_ms": round(late[int(0.99 * (len(late) - 1))], 2) if late else 0.0,
+        delays_ms = sorted(row.at - row.due for row in self.rows)
+        report = {
+            "done": True, "tries": len(self.rows), "unanswered": unanswered, **self.violations,
+            "late_p99_ms": round(delays_ms[int(0.99 * (len(delays_ms) - 1))], 2) if delays_ms else 0.0,
         }  # fmt: skip
-        print(orjson.dumps(told).decode(), flush=True)
+        print(orjson.dumps(report).decode(), flush=True)
         self.reactor.stop()
 
 
@@ -244,9 +256,9 @@
     from twisted.internet import reactor
 
     options = orjson.loads(sys.stdin.buffer.read())
-    run: Any = reactor
-    run.callWhenRunning(Load(run, options).start)
-    run.run()
+    any_reactor: Any = reactor
+    any_reactor.callWhenRunning(Load(any_reactor, options).start)
+    any_reactor.run()
     return 0
 
 
--- a/scalelb/lab/report.py
+++ b/scalelb/lab/report.py
@@ -1,4 +1,4 @@
-"""Tables and charts of what was measured, as one HTML page without anything beside it, and as Markdown."""
+"""Tables and charts of the measurements, as one self-contained HTML page and as Markdown."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from matplotlib import pyplot
 
 RESULT_FILE = "result.json"
-STEP_MS = 500.0  # of the charts over time
+BIN_MS = 500.0  # width of a time bin in the charts over time
 
 
 class ReportError(Exception):
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Line:
-    """One line of the table: a group of centers in a variant, and how its waits compare with the first's."""
+    """One line of the table: a group of tenants in a variant.  Ratios compare it with the first variant."""
 
     variant: str
     group: str
@@ -38,91 +38,94 @@
 
 
 def table(rows: Iterable[Row]) -> list[Line]:
-    """All groups in all variants, in the order in which they come; the first variant is what others are held
-    against."""
-    found: list[Line] = []
-    by: dict[tuple[str, str], list[Row]] = {}
+    """Return a line for each group in each variant, in the order of the rows.
+
+    The first variant of a group is the baseline for the others.
+    """
+    lines: list[Line] = []
+    rows_by_line: dict[tuple[str, str], list[Row]] = {}
     for row in rows:
-        by.setdefault((row.variant, row.group), []).append(row)
-    first: dict[str, Summary] = {}
-    for (variant, group), some in by.items():
-        summary = summarize(some)
-        base = first.setdefault(group, summary)
-        same = base is summary
-        found.append(
+        rows_by_line.setdefault((row.variant, row.group), []).append(row)
+    baselines: dict[str, Summary] = {}
+    for (variant, group), line_rows in rows_by_line.items():
+        summary = summarize(line_rows)
+        baseline = baselines.setdefault(group, summary)
+        is_first = baseline is summary
+        lines.append(
             Line(
                 variant, group, summary,
-                None if same or not base.wait_p50 else summary.wait_p50 / base.wait_p50,
-                None if same or not base.wait_p95 else summary.wait_p95 / base.wait_p95,
+                None if is_first or not baseline.latency_p50 else summary.latency_p50 / baseline.latency_p50,
+                None if is_first or not baseline.latency_p95 else summary.latency_p95 / baseline.latency_p95,
             )
         )  # fmt: skip
-    return found
+    return lines
 
 
-HEADS = (
+HEADINGS = (
     "variant", "centers", "tries", "served", "refused", "failed", "p50 ms", "p95 ms", "p50 / first",
     "p95 / first", "back when told", "got in", "beyond",
 )  # fmt: skip
 
 
 def cells(line: Line) -> list[str]:
-    """A line in words."""
-    s = line.summary
+    """Return the texts of a line's cells, in the order of `HEADINGS`."""
+    summary = line.summary
     ratios = ["" if ratio is None else f"{ratio:.2f}" for ratio in (line.ratio_p50, line.ratio_p95)]
-    kept = f"{s.kept:.3f}" if s.came else ""
-    numbers = [s.tries, s.served, s.refused, s.failed + s.unanswered]
+    admitted_ratio = f"{summary.admitted_ratio:.3f}" if summary.retries else ""
+    numbers = [summary.requests, summary.served, summary.rejected, summary.failed + summary.unanswered]
     return [
-        line.variant, line.group, *map(str, numbers), f"{s.wait_p50:.0f}", f"{s.wait_p95:.0f}", *ratios,
-        str(s.came), kept, str(s.beyond),
+        line.variant, line.group, *map(str, numbers), f"{summary.latency_p50:.0f}",
+        f"{summary.latency_p95:.0f}", *ratios, str(summary.retries), admitted_ratio,
+        str(summary.rejected_beyond_max),
     ]  # fmt: skip
 
 
 def markdown(lines: Iterable[Line]) -> str:
-    """The table for a page of `docs/`."""
-    text = ["| " + " | ".join(HEADS) + " |", "| " + " | ".join("---" for _ in HEADS) + " |"]
+    """Return the table in Markdown, for a page of `docs/`."""
+    text = ["| " + " | ".join(HEADINGS) + " |", "| " + " | ".join("---" for _ in HEADINGS) + " |"]
     text += ["| " + " | ".join(cells(line)) + " |" for line in lines]
     return "\n".join(text) + "\n"
 
 
-def _percentiles(rows: list[Row]) -> Any:
-    """Waits of each variant, as the part of the answers that took longer."""
+def _plot_latencies(rows: list[Row]) -> Any:
+    """Plot the latencies of one group in each variant, as the ratio of answers within a time."""
     figure, axes = pyplot.subplots(figsize=(7.5, 3.6))
     variants = dict.fromkeys(row.variant for row in rows)
     groups = list(dict.fromkeys(row.group for row in rows))
-    watched = groups[-1] if len(groups) > 1 else groups[0]
+    plotted_group = groups[-1] if len(groups) > 1 else groups[0]
     for variant in variants:
-        times = sorted(
+        latencies = sorted(
             row.ended - row.due
             for row in rows
-            if row.variant == variant and row.group == watched and row.verdict == "served"
+            if row.variant == variant and row.group == plotted_group and row.verdict == "served"
         )
-        if times:
-            parts = [(place + 1) / len(times) for place in range(len(times))]
-            axes.plot(times, parts, label=variant, linewidth=1.4)
+        if latencies:
+            ratios = [(index + 1) / len(latencies) for index in range(len(latencies))]
+            axes.plot(latencies, ratios, label=variant, linewidth=1.4)
     axes.set_xscale("log")
-    axes.set_xlabel(f"time to the answer, ms ({watched})")
+    axes.set_xlabel(f"time to the answer, ms ({plotted_group})")
     axes.set_ylabel("part of the answers")
     axes.grid(alpha=0.3)
     axes.legend(fontsize=8)
     return figure
 
 
-def _over_time(rows: list[Row]) -> Any:
-    """What each group was served a second, in each variant."""
+def _plot_served_units(rows: list[Row]) -> Any:
+    """Plot the units per second that were served to each group, over time, in each variant."""
     variants = list(dict.fromkeys(row.variant for row in rows))
     figure, all_axes = pyplot.subplots(
         len(variants), 1, figsize=(7.5, 1.9 * len(variants)), sharex=True, squeeze=False
     )
     for axes, variant in zip(all_axes[:, 0], variants, strict=True):
-        some = [row for row in rows if row.variant == variant and row.verdict == "served"]
-        for group in dict.fromkeys(row.group for row in some):
-            counts: dict[int, float] = {}
-            for row in some:
+        served = [row for row in rows if row.variant == variant and row.verdict == "served"]
+        for group in dict.fromkeys(row.group for row in served):
+            rates: dict[int, float] = {}
+            for row in served:
                 if row.group == group:
-                    place = int(row.ended // STEP_MS)
-                    counts[place] = counts.get(place, 0.0) + row.units * 1000.0 / STEP_MS
-            places = range(max(counts, default=0) + 1)
-            seconds, units = [p * STEP_MS / 1000.0 for p in places], [counts.get(p, 0.0) for p in places]
+                    index = int(row.ended // BIN_MS)
+                    rates[index] = rates.get(index, 0.0) + row.units * 1000.0 / BIN_MS
+            bins = range(max(rates, default=0) + 1)
+            seconds, units = [b * BIN_MS / 1000.0 for b in bins], [rates.get(b, 0.0) for b in bins]
             axes.plot(seconds, units, label=group)
         axes.set_title(variant, fontsize=9, loc="left")
         axes.set_ylabel("units/s", fontsize=8)
@@ -132,38 +135,39 @@
     return figure
 
 
-def _picture(figure: Any, path: Path | None = None) -> str:
+def _svg_base64(figure: Any, path: Path | None = None) -> str:
+    """Return a figure as SVG in base64; write the SVG to `path` if it is given."""
     figure.tight_layout()
-    held = streams.BytesIO()
-    # Without a date: the same rows give the same file.
-    figure.savefig(held, format="svg", metadata={"Date": None})
+    buffer = streams.BytesIO()
+    # Without a date, the same rows give the same file.
+    figure.savefig(buffer, format="svg", metadata={"Date": None})
     pyplot.close(figure)
     if path is not None:
-        path.write_bytes(held.getvalue())
-    return base64.b64encode(held.getvalue()).decode("ascii")
+        path.write_bytes(buffer.getvalue())
+    return base64.b64encode(buffer.getvalue()).decode("ascii")
 
 
 def write_report(out: Path) -> Path:
-    """Read what `out` holds; write `report.html`, `table.md` and the charts there.  Returns the page."""
+    """Read the results in `out`; write `report.html`, `table.md` and the charts there.  Returns the page."""
     try:
         result = orjson.loads((out / RESULT_FILE).read_bytes())
     except (OSError, orjson.JSONDecodeError):
         raise ReportError(f"{out}: no {RESULT_FILE} to report on") from None
     rows: list[Row] = []
-    for name in result["variants"]:
-        rows += read_rows(out / name["folder"] / "rows.parquet")
+    for variant in result["variants"]:
+        rows += read_rows(out / variant["folder"] / "rows.parquet")
     if not rows:
         raise ReportError(f"{out}: no rows")
     lines = table(rows)
     (out / "table.md").write_text(markdown(lines))
     matplotlib.rcParams["svg.hashsalt"] = "scalelb"
     charts = [
-        ("Times to the answer", _picture(_percentiles(rows), out / "waits.svg")),
-        ("What was served", _picture(_over_time(rows), out / "served.svg")),
+        ("Times to the answer", _svg_base64(_plot_latencies(rows), out / "waits.svg")),
+        ("What was served", _svg_base64(_plot_served_units(rows), out / "served.svg")),
     ]
     loader = PackageLoader("scalelb.lab", ".")
     page = Environment(loader=loader, autoescape=select_autoescape(["j2"])).get_template("report.html.j2")
     path = out / "report.html"
-    words = page.render(result=result, heads=HEADS, lines=[cells(line) for line in lines], charts=charts)
-    path.write_text(words)
+    html = page.render(result=result, heads=HEADINGS, lines=[cells(line) for line in lines], charts=charts)
+    path.write_text(html)
     return path
--- a/scalelb/lab/rows.py
+++ b/scalelb/lab/rows.py
@@ -1,4 +1,7 @@
-"""What was measured: one row a try, kept in Parquet; latencies summed up in HdrHistogram."""
+"""Measurements: one row per request, stored in Parquet; latencies are summarized with HdrHistogram.
+
+A retry of a client is a request of its own, with a row of its own.
+"""
 
 from __future__ import annotations
 
@@ -11,105 +14,105 @@
 import pyarrow.parquet as pq
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US, HIGHEST_US, DIGITS = 1, 120_000_000, 3  # of a histogram, in microseconds
+MIN_US, MAX_US, SIGNIFICANT_DIGITS = 1, 120_000_000, 3  # of a histogram, in microseconds
 
 
 @dataclass(slots=True)
 class Row:
-    """What became of one try.  Times are milliseconds from the start of the run."""
+    """One request and its result.  Times are milliseconds from the start of the run."""
 
     variant: str
-    group: str  # of centers
+    group: str  # of tenants
     customer: int
     limiter: int
     kind: int
     plan: int
     units: float
-    number: int  # 0: the first try
-    due: float  # when it was to be sent; latencies count from here, however late the load was
-    at: float = -1.0  # when it was
-    sent: float = -1.0  # when a limiter sent its first attempt; -1: never, or not seen from outside
-    ended: float = -1.0  # -1: no final answer
-    verdict: str = ""  # served, refused, failed; empty: none
+    number: int  # 0: the first request; otherwise the number of the retry
+    due: float  # when it should be sent; latencies are measured from here, even if the load is late
+    at: float = -1.0  # when it was sent
+    sent: float = -1.0  # when a limiter sent its first attempt; -1: never, or not visible from outside
+    ended: float = -1.0  # when the final answer came; -1: none
+    verdict: str = ""  # served, refused, failed; empty: no answer
     retry_after_ms: float = 0.0
-    told_beyond: bool = False  # the time it was told is all that may be said
+    told_beyond: bool = False  # whether the Retry-After time is the maximum, so that the true one is longer
     server: str = ""
-    key: str = ""  # the same for all tries of a request
+    key: str = ""  # idempotency key, the same for a request and its retries
 
 
-COLUMN = {"str": pa.string(), "int": pa.int64(), "float": pa.float64(), "bool": pa.bool_()}
-SCHEMA = pa.schema([(f.name, COLUMN[str(f.type)]) for f in fields(Row)])
+COLUMN_TYPES = {"str": pa.string(), "int": pa.int64(), "float": pa.float64(), "bool": pa.bool_()}
+SCHEMA = pa.schema([(f.name, COLUMN_TYPES[str(f.type)]) for f in fields(Row)])
 
 
 def write_rows(path: Path, rows: Iterable[Row]) -> None:
-    """Keep rows; a file that is there is replaced whole."""
+    """Write rows to a file; an existing file is replaced atomically."""
     table = pa.Table.from_pylist([asdict(row) for row in rows], schema=SCHEMA)
-    beside = path.with_suffix(".part")
-    pq.write_table(table, beside, compression="zstd")
-    beside.replace(path)
+    temporary = path.with_suffix(".part")
+    pq.write_table(table, temporary, compression="zstd")
+    temporary.replace(path)
 
 
 def read_rows(path: Path) -> list[Row]:
-    """Rows that were kept."""
+    """Read the rows of a file."""
     table = pq.read_table(path, schema=SCHEMA)
-    return [Row(**found) for found in table.to_pylist()]
+    return [Row(**record) for record in table.to_pylist()]
 
 
 def histogram(ms: Iterable[float]) -> Any:
-    """A histogram of times; what lies beyond its ends counts at them."""
-    found = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    """Return a histogram of times; times outside its range count as its lowest or highest value."""
+    hist = HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
     for value in ms:
-        found.record_value(int(max(LOWEST_US, min(HIGHEST_US, value * 1000.0))))
-    return found
+        hist.record_value(int(max(MIN_US, min(MAX_US, value * 1000.0))))
+    return hist
 
 
-def percentile(found: Any, part: float) -> float:
-    """A percentile of a histogram, in milliseconds."""
-    return float(found.get_value_at_percentile(100.0 * part)) / 1000.0 if found.total_count else 0.0
+def percentile(hist: Any, ratio: float) -> float:
+    """Return a percentile of a histogram, in milliseconds; `ratio` is between 0 and 1."""
+    return float(hist.get_value_at_percentile(100.0 * ratio)) / 1000.0 if hist.total_count else 0.0
 
 
 @dataclass(frozen=True)
 class Summary:
-    """What some tries came to.  Times in milliseconds; a wait is the time to the answer."""
+    """Totals of some rows.  A latency is the time from due to the answer, in milliseconds."""
 
-    tries: int
+    requests: int  # including retries
     served: int
-    refused: int
+    rejected: int
     failed: int
     unanswered: int
-    wait_p50: float
-    wait_p95: float
-    wait_p99: float
-    told: int  # first tries refused with a time that can be kept
-    beyond: int  # first tries refused whose honest time may not be said
-    came: int  # that came back when told
-    got_in: int  # of those
+    latency_p50: float
+    latency_p95: float
+    latency_p99: float
+    rejected_with_retry_after: int  # first requests rejected with a Retry-After time below the maximum
+    rejected_beyond_max: int  # first requests rejected with the maximum, as the true time is longer
+    retries: int  # first retries after a Retry-After time below the maximum
+    admitted_retries: int  # of these
 
     @property
-    def kept(self) -> float:
-        """The part of those that came back when told and got in."""
-        return self.got_in / self.came if self.came else 1.0
+    def admitted_ratio(self) -> float:
+        """Return the ratio of retries that were admitted."""
+        return self.admitted_retries / self.retries if self.retries else 1.0
 
 
-def summarize(rows: Iterable[Row], chosen: Callable[[Row], bool] = lambda row: True) -> Summary:
-    """Sum rows up.  Only tries that came back after a time that could be kept count as told."""
-    some = [row for row in rows if chosen(row)]
+def summarize(rows: Iterable[Row], is_included: Callable[[Row], bool] = lambda row: True) -> Summary:
+    """Summarize rows.  Retries after the maximum Retry-After time are left out, as they come too early."""
+    included = [row for row in rows if is_included(row)]
     verdicts = ("served", "refused", "failed")
-    count = {verdict: sum(row.verdict == verdict for row in some) for verdict in verdicts}
-    waits = histogram(row.ended - row.due for row in some if row.verdict == "served")
-    first = [row for row in some if row.number == 0 and row.verdict == "refused"]
-    back = [row for row in some if row.number == 1 and not row.told_beyond]
+    counts = {verdict: sum(row.verdict == verdict for row in included) for verdict in verdicts}
+    latencies = histogram(row.ended - row.due for row in included if row.verdict == "served")
+    first_rejected = [row for row in included if row.number == 0 and row.verdict == "refused"]
+    retries = [row for row in included if row.number == 1 and not row.told_beyond]
     return Summary(
-        tries=len(some),
-        served=count["served"],
-        refused=count["refused"],
-        failed=count["failed"],
-        unanswered=len(some) - sum(count.values()),
-        wait_p50=percentile(waits, 0.5),
-        wait_p95=percentile(waits, 0.95),
-        wait_p99=percentile(waits, 0.99),
-        told=sum(not row.told_beyond for row in first),
-        beyond=sum(row.told_beyond for row in first),
-        came=len(back),
-        got_in=sum(row.verdict in ("served", "failed") for row in back),
+        requests=len(included),
+        served=counts["served"],
+        rejected=counts["refused"],
+        failed=counts["failed"],
+        unanswered=len(included) - sum(counts.values()),
+        latency_p50=percentile(latencies, 0.5),
+        latency_p95=percentile(latencies, 0.95),
+        latency_p99=percentile(latencies, 0.99),
+        rejected_with_retry_after=sum(not row.told_beyond for row in first_rejected),
+        rejected_beyond_max=sum(row.told_beyond for row in first_rejected),
+        retries=len(retries),
+        admitted_retries=sum(row.verdict in ("served", "failed") for row in retries),
     )
--- a/scalelb/lab/schedule.py
+++ b/scalelb/lab/schedule.py
@@ -1,11 +1,11 @@
-"""Fault schedules: a TOML file of limiters, load and steps; all of it is checked before a start.
+"""Fault schedules: a TOML file with limiters, load and steps, which is validated before anything is started.
 
-A step begins at something that was observed since the step before it was done, never at a time:
+A step begins when an event has been observed since the previous step was done, never at a fixed time:
 
     [[step]]
-    log = "settled"            # a line of this event, by `of` if it is given
-    answers = 40               # or: so many final answers
-    messages = 20              # or: so many messages from one limiter to another
+    log = "settled"            # this event in a limiter's log; `source` names the limiter
+    answers = 40               # or this number of final answers
+    messages = 20              # or this number of messages from one limiter (`source`) to another (`target`)
     do = "kill"
     of = "limiter-1"
 """
@@ -20,54 +20,54 @@
 from scalelb.lab.experiment import ExperimentError
 from scalelb.program.config_reader import ConfigError, Node, read_toml
 
-WAITS = ("log", "answers", "messages")
-OF_ONE = ("kill", "stall", "wake", "start")
-OF_LINK = ("cut", "carry", "hold", "delay", "half", "reset")
-OTHERS = ("counter", "drain", "load", "nothing")
-LIMITERS_MOST, STEPS_MOST, KILLS_MOST = 16, 200, 500
+WAIT_KEYS = ("log", "answers", "messages")
+LIMITER_ACTIONS = ("kill", "stall", "wake", "start")  # require `of`
+LINK_ACTIONS = ("cut", "carry", "hold", "delay", "half", "reset")
+OTHER_ACTIONS = ("counter", "drain", "load", "nothing")
+MAX_LIMITERS, MAX_STEPS, MAX_KILLS = 16, 200, 500
 
 
 @dataclass(frozen=True)
 class Step:
-    """What to wait for, and what to do then."""
+    """An action, and the event that it waits for."""
 
-    wait: str
-    what: str  # the event of the log
-    count: int
-    source: str  # of a log line, or of messages
-    target: str  # of messages
+    wait: str  # one of `WAIT_KEYS`; empty: the step does not wait
+    what: str  # the log event
+    count: int  # of log events, answers or messages
+    source: str  # the limiter that logs the event (empty: any) or sends the messages
+    target: str  # the limiter that receives the messages (empty: any)
     do: str
     of: str
     to: str
-    how: str
+    how: str  # the state of the counter, or the requests per second of the load
     one_way: bool
-    delay_ms: tuple[float, float]
+    delay_ms: tuple[float, float]  # minimum and maximum
 
 
 @dataclass(frozen=True)
 class Schedule:
-    """All of one run."""
+    """The schedule of one run."""
 
     name: str
     limiters: int
     seed: int
-    linked: bool
-    rate: float  # units a second of a customer's plan
+    linked: bool  # whether the limiters replicate their state to each other
+    rate: float  # of each tenant's quota, in units per second
     burst: float
     per_s: float  # requests of all clients together
     customers: int
-    keyed: float  # part of the requests
-    bound: float  # of the quotas, what may be sent on
+    keyed: float  # ratio of requests with an idempotency key
+    bound: float  # how many times its quota a tenant may use over all limiters
     steps: tuple[Step, ...]
 
     @property
     def names(self) -> list[str]:
-        """The limiters'."""
+        """Return the names of the limiters."""
         return [f"limiter-{n}" for n in range(self.limiters)]
 
 
 def read_schedule(path: Path) -> Schedule:
-    """Read and check a schedule; raises `ExperimentError` with file and key."""
+    """Read and validate a schedule.  Raises `ExperimentError` naming file and key."""
     try:
         return _read(Node(read_toml(path), ""), path)
     except ConfigError as error:
@@ -77,14 +77,14 @@
 def _read(top: Node, path: Path) -> Schedule:
     known = "name limiters seed linked plan load step bound kills"
     if unknown := sorted(set(top.value) - set(known.split())):
-        raise ConfigError(f"{unknown[0]}: not known; there are {known.replace(' ', ', ')}")
+        raise ConfigError(f"{unknown[0]}: not known; known keys are {known.replace(' ', ', ')}")
     plan, load = top.node("plan", {}), top.node("load", {})
     limiters = top.whole("limiters", 2, 3)
-    if limiters > LIMITERS_MOST:
-        raise ConfigError(f"limiters: must be at most {LIMITERS_MOST}, not {limiters}")
+    if limiters > MAX_LIMITERS:
+        raise ConfigError(f"limiters: must be at most {MAX_LIMITERS}, not {limiters}")
     steps = top.nodes("step", 1)
-    if len(steps) > STEPS_MOST:
-        raise ConfigError(f"step: must be {STEPS_MOST} at most, not {len(steps)}")
+    if len(steps) > MAX_STEPS:
+        raise ConfigError(f"step: must be a list of at most {MAX_STEPS}, not {len(steps)}")
     names = [f"limiter-{n}" for n in range(limiters)]
     return Schedule(
         name=top.text("name", path.stem),
@@ -102,38 +102,38 @@
 
 
 def _kills(top: Node, names: list[str]) -> list[Step]:
-    """`[kills]`: so many limiters, drawn from the seed, each killed after some answers and started anew."""
-    told = top.node("kills", {"count": 0})
-    drawn, count = random.Random(f"kills {top.whole('seed', 0, 1)}"), told.whole("count", 0, 0)
-    if count > KILLS_MOST:
-        raise ConfigError(f"{told.at('count')}: must be {KILLS_MOST} at most, not {count}")
+    """Return the steps of `[kills]`: random limiters, each killed after some answers and restarted."""
+    kills = top.node("kills", {"count": 0})
+    rng, count = random.Random(f"kills {top.whole('seed', 0, 1)}"), kills.whole("count", 0, 0)
+    if count > MAX_KILLS:
+        raise ConfigError(f"{kills.at('count')}: must be at most {MAX_KILLS}, not {count}")
     steps = []
     for _ in range(count):
-        name = drawn.choice(names)
-        kill = {"answers": told.whole("answers", 1, 20), "do": "kill", "of": name}
+        name = rng.choice(names)
+        kill = {"answers": kills.whole("answers", 1, 20), "do": "kill", "of": name}
         steps.append(_step(Node(kill, ""), names))
         steps.append(_step(Node({"do": "start", "of": name}, ""), names))
     return steps
 
 
 def _step(node: Node, names: list[str]) -> Step:
-    waits = [wait for wait in WAITS if wait in node.value]
+    waits = [wait for wait in WAIT_KEYS if wait in node.value]
     if len(waits) > 1:
-        raise ConfigError(f"{node.at(waits[1])}: one of {', '.join(WAITS)} is enough")
+        raise ConfigError(f"{node.at(waits[1])}: one of {', '.join(WAIT_KEYS)} is enough")
     wait = waits[0] if waits else ""
     do = node.text("do")
-    if do not in (every := OF_ONE + OF_LINK + OTHERS):
-        raise ConfigError(f"{node.at('do')}: must be one of {', '.join(every)}, not {do!r}")
+    if do not in (actions := LIMITER_ACTIONS + LINK_ACTIONS + OTHER_ACTIONS):
+        raise ConfigError(f"{node.at('do')}: must be one of {', '.join(actions)}, not {do!r}")
     for key in ("of", "to", "source", "target"):
-        told = node.text(key, "")
-        if told not in ("", "all", *names) and not (do == "drain" and key == "of"):
-            raise ConfigError(f"{node.at(key)}: must be one of {', '.join(names)}, not {told!r}")
-    if do in OF_ONE and not node.text("of", ""):
+        name = node.text(key, "")
+        if name not in ("", "all", *names) and not (do == "drain" and key == "of"):
+            raise ConfigError(f"{node.at(key)}: must be one of {', '.join(names)}, not {name!r}")
+    if do in LIMITER_ACTIONS and not node.text("of", ""):
         raise ConfigError(f"{node.at('of')}: missing field")
     delay: Any = node.get("delay_ms", [0.0, 0.0])
     if not isinstance(delay, list) or len(delay) != 2:
-        raise ConfigError(f"{node.at('delay_ms')}: must be the least and the most")
-    least, most = (Node({"delay_ms": item}, node.path).number("delay_ms") for item in delay)
+        raise ConfigError(f"{node.at('delay_ms')}: must be the least and the most, as two numbers")
+    min_ms, max_ms = (Node({"delay_ms": item}, node.path).number("delay_ms") for item in delay)
     return Step(
         wait=wait,
         what=node.text("log", "") if wait == "log" else "",
@@ -145,5 +145,5 @@
         to=node.text("to", ""),
         how=node.text("how", ""),
         one_way=node.flag("one_way", False),
-        delay_ms=(least, most),
+        delay_ms=(min_ms, max_ms),
     )
--- a/scalelb/lab/standins.py
+++ b/scalelb/lab/standins.py
@@ -1,10 +1,10 @@
-"""Stand-ins on loopback, in one process of their own: deck servers, counter and director.
+"""Stand-ins on loopback, in one process of their own: backends, the shared counter and discovery.
 
-Written from the platform's protocol.  `python -m scalelb.lab.standins` reads one JSON object from standard
-input (`Plan`), binds free ports, writes one line of JSON with the addresses, and then takes commands, one
-JSON object a line: `{"counter": "silent" | "empty" | "well"}`, `{"discovery": "silent" | "well"}`,
+They follow the platform's protocol.  `python -m scalelb.lab.standins` reads one JSON object from standard
+input (`Plan`), binds free ports, writes one line of JSON with the addresses, and then reads commands, one
+JSON object per line: `{"counter": "silent" | "empty" | "well"}`, `{"discovery": "silent" | "well"}`,
 `{"drain": NAME}`, `{"gone": NAME}`, `{"hang": NAME}`, `{"well": NAME}`, `{"reset": NAME}`, `{"tell": true}`.
-It ends with its standard input.
+The process ends when its standard input is closed.
 """
 
 from __future__ import annotations
@@ -27,16 +27,20 @@
 from scalelb.protocol import MalformedError, http, resp
 from scalelb.transport.stream import Stream
 
-HOLD_MOST_MS = 60_000.0
-DELTA = re.compile(r"-?[0-9]{1,12}(?:\.[0-9]{1,12})?")
-AMOUNT_MOST = 1e9
-SEEN_MOST = 500_000
-CLOSE_S = 0.05  # in which the end of a connection has been read
+MAX_HOLD_MS = 60_000.0  # for which a watch of the endpoint list stays open without a change
+DELTA_PATTERN = re.compile(r"-?[0-9]{1,12}(?:\.[0-9]{1,12})?")
+MAX_DELTA = 1e9
+MAX_RECORDED_EVENTS = 500_000
+CLOSE_DETECTION_S = 0.05  # within this time the end of a connection has been read
 
 
 @dataclass(frozen=True)
 class BackendSpec:
-    """One deck server: its cores, their speed, its waiting room, and whether it starts with the run."""
+    """One backend: its cores, their speed, the capacity of its queue (`room`), and its warm-up.
+
+    A backend starts at the ratio `cold_from` of its speed and reaches its full speed after `cold_ms`; with a
+    ratio of 1 it is warm from the start.
+    """
 
     name: str
     cores: int
@@ -48,121 +52,132 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """All stand-ins of a run.  `work_ms` is a unit's work by class.
+    """All stand-ins of a run.  `work_ms` is the work per unit, by class.
 
-    With `true_per_guess` above 0, every answer tells that many true units for each unit of the guess; with
-    `used_percent` of 0 or more, it tells that use of the customer's quota.
+    If `true_per_guess` is above 0, each reply reports that many actual units per estimated unit; if
+    `used_percent` is 0 or more, each reply reports that use of the tenant's quota.
     """
 
     backends: tuple[BackendSpec, ...]
     work_ms: dict[str, float]
     counter_ms: float = 1.0
-    record: bool = False  # keep every attempt that was seen
+    record: bool = False  # whether each attempt and its end are recorded
     true_per_guess: float = 0.0
     used_percent: float = -1.0
 
     @classmethod
     def read(cls, options: dict[str, Any]) -> Plan:
-        """From JSON."""
-        decks = tuple(BackendSpec(**deck) for deck in options["decks"])
+        """Return the plan that a JSON object describes."""
+        backends = tuple(BackendSpec(**backend) for backend in options["decks"])
         more = options.get("counter_ms", 1.0), options.get("record", False)
         figures = options.get("true_per_guess", 0.0), options.get("used_percent", -1.0)
-        return cls(decks, options["work_ms"], *more, *figures)
+        return cls(backends, options["work_ms"], *more, *figures)
 
-    def usage(self, guess: float) -> bytes:
-        """The figures on use of an answer, as an element of it; null where none are asked for."""
+    def usage(self, estimated_units: float) -> bytes:
+        """Return the element of a reply that reports usage; a null element if no figure is configured."""
         items = [b"used=%g" % self.used_percent] if self.used_percent >= 0 else []
-        items += [b"cost=%g" % (self.true_per_guess * guess)] if self.true_per_guess > 0 else []
+        items += [b"cost=%g" % (self.true_per_guess * estimated_units)] if self.true_per_guess > 0 else []
         text = b",".join(items)
         return b"$%d\r\n%s\r\n" % (len(text), text) if text else b"$-1\r\n"
 
 
 @dataclass(eq=False)
 class Job:
-    """A request that a deck server has taken."""
+    """A request that a backend has received."""
 
     session: BackendSession
     ident: bytes
     work_ms: float
-    units: float = 0.0  # by the client's guess
-    reply: bytes = b""  # once it is done
+    units: float = 0.0  # as the client estimated them
+    reply: bytes = b""  # empty until the job is done
 
 
 class Backend(ServerFactory):
-    """A deck server.  Its cores serve one request each, in the order of arrival; on a connection, answers
-    come in the order of the commands."""
+    """A backend.
+
+    Each core serves one request at a time, in the order of arrival; the answers on a connection are sent in
+    the order of its commands.
+    """
 
     noisy = False
 
     def __init__(self, reactor: Any, spec: BackendSpec, plan: Plan) -> None:
         self.reactor, self.spec, self.plan = reactor, spec, plan
         self.work_ms = {name.encode(): ms for name, ms in plan.work_ms.items()}
-        self.started = reactor.seconds()
+        self.started_at = reactor.seconds()
         self.running = 0
         self.waiting: deque[Job] = deque()
-        self.drains = False
-        self.tally = {"taken": 0, "served": 0, "busy": 0, "malformed": 0, "twice": 0, "after_drain": 0}
-        self.inside: dict[bytes, Job] = {}  # by id: what waits or runs
-        self.drained_at = 0.0
-        self.seen: list[dict[str, Any]] | None = None  # attempts and their ends, where they are kept
-        self.sessions = 0
+        self.is_draining = False
+        self.counts = {"taken": 0, "served": 0, "busy": 0, "malformed": 0, "twice": 0, "after_drain": 0}
+        self.unfinished: dict[bytes, Job] = {}  # waiting and running jobs by request id
+        self.drain_at = 0.0  # when draining began
+        self.events: list[dict[str, Any]] | None = None  # attempts and their ends; None: not recorded
+        self.session_count = 0
         self.open_sessions: set[BackendSession] = set()
-        self.hangs = False  # answers nothing
+        self.is_hanging = False  # sends no answers
 
-    def become(self, hangs: bool) -> None:
-        """Answer nothing from now on, or again; what was done meanwhile is answered then."""
-        self.hangs = hangs
+    def set_hanging(self, is_hanging: bool) -> None:
+        """Stop or resume sending answers; those of jobs done in the meantime are sent on resuming."""
+        self.is_hanging = is_hanging
         for session in list(self.open_sessions):
             session.flush()
 
     def reset(self) -> None:
-        """End all connections."""
+        """Abort all connections."""
         for session in list(self.open_sessions):
             session.abort()
 
     def buildProtocol(self, addr: Any) -> BackendSession:  # noqa: N802
-        """A limiter connects."""
-        self.sessions += 1
+        """Accept a limiter's connection."""
+        self.session_count += 1
         return BackendSession(self)
 
-    def note(self, what: str, job: Job, **more: Any) -> None:
-        """Keep what was seen of an attempt."""
-        if self.seen is not None and job.ident and len(self.seen) < SEEN_MOST:
+    def note(self, what: str, job: Job, **fields: Any) -> None:
+        """Record an event of an attempt."""
+        if self.events is not None and job.ident and len(self.events) < MAX_RECORDED_EVENTS:
             at, link = time.time() * 1000.0, job.session.number
-            told = {"what": what, "ident": job.ident.decode(), "at": at, "deck": self.spec.name, "link": link}
-            self.seen.append({**told, **more})
+            event = {
+                "what": what,
+                "ident": job.ident.decode(),
+                "at": at,
+                "deck": self.spec.name,
+                "link": link,
+            }
+            self.events.append({**event, **fields})
 
     def speed(self) -> float:
-        """Of a core now: a server that has just started is slow at first."""
+        """Return the current speed of a core, which is lower while the backend is warming up."""
         spec = self.spec
-        age: float = min(1.0, 1000.0 * (self.reactor.seconds() - self.started) / spec.cold_ms)
+        age: float = min(1.0, 1000.0 * (self.reactor.seconds() - self.started_at) / spec.cold_ms)
         return spec.speed * (spec.cold_from + (1.0 - spec.cold_from) * age)
 
-    def take(self, session: BackendSession, call: resp.Call) -> Job:
-        """A whole command has come."""
+    def receive(self, session: BackendSession, call: resp.Call) -> Job:
+        """Run or queue the request of a complete command, or answer that the backend is busy."""
         work_ms = call.units * self.work_ms.get(call.kind.encode(), 1.0)
         job = Job(session, call.ident, work_ms, call.units)
-        self.tally["taken"] += 1
+        self.counts["taken"] += 1
         self.note("take", job, customer=f"{int(call.customer, 16):016x}", units=call.units, key=call.key)
-        if self.drains and self.reactor.seconds() - self.drained_at > 1.0:
-            self.tally["after_drain"] += 1
-        if (earlier := self.inside.get(call.ident)) is not None:
-            self.reactor.callLater(CLOSE_S, self._twice, earlier)
+        if self.is_draining and self.reactor.seconds() - self.drain_at > 1.0:
+            self.counts["after_drain"] += 1
+        if (earlier := self.unfinished.get(call.ident)) is not None:
+            self.reactor.callLater(CLOSE_DETECTION_S, self._count_concurrent, earlier)
         if self.running < self.spec.cores:
-            self.inside[call.ident] = job
+            self.unfinished[call.ident] = job
             self._begin(job)
-        elif len(self.waiting) < self.spec.room and not self.drains:
-            self.inside[call.ident] = job
+        elif len(self.waiting) < self.spec.room and not self.is_draining:
+            self.unfinished[call.ident] = job
             self.waiting.append(job)
         else:
-            self.tally["busy"] += 1
+            self.counts["busy"] += 1
             job.reply = resp.busy()
         return job
 
-    def _twice(self, earlier: Job) -> None:
-        """The rule: never two attempts out.  One whose connection was given up is not out; the end of a
-        connection may be read a moment after what was sent on another."""
-        self.tally["twice"] += not (earlier.session.gone or earlier.reply)
+    def _count_concurrent(self, earlier: Job) -> None:
+        """Count a violation if the earlier attempt of a request was still in flight when another came.
+
+        An attempt whose connection was closed is not in flight; the end of that connection may be read a
+        moment after the next attempt has come on another."""
+        self.counts["twice"] += not (earlier.session.gone or earlier.reply)
 
     def _begin(self, job: Job) -> None:
         self.running += 1
@@ -170,75 +185,75 @@
 
     def _end(self, job: Job) -> None:
         self.running -= 1
-        self._leave(job)
-        self.tally["served"] += 1
-        # The value names the request it was made for, so that a client knows one made for another.
+        self._forget(job)
+        self.counts["served"] += 1
+        # The value names its request, so that a client detects the value of another request.
         value = b"%s %s" % (self.spec.name.encode(), job.ident)
         job.reply = b"*3\r\n$%d\r\n%s\r\n%s$-1\r\n" % (len(value), value, self.plan.usage(job.units))
         job.session.flush()
         while self.waiting and self.running < self.spec.cores:
             waiting = self.waiting.popleft()
-            if waiting.session.gone:  # given up: waiting work is dropped
-                self._leave(waiting)
+            if waiting.session.gone:  # the limiter has abandoned the attempt: its job is dropped
+                self._forget(waiting)
             else:
                 self._begin(waiting)
 
-    def _leave(self, job: Job) -> None:
-        if self.inside.get(job.ident) is job:
-            del self.inside[job.ident]
+    def _forget(self, job: Job) -> None:
+        if self.unfinished.get(job.ident) is job:
+            del self.unfinished[job.ident]
 
 
 class BackendSession(Stream):
-    """One connection of a limiter."""
+    """One connection from a limiter."""
 
-    def __init__(self, deck: Backend) -> None:
-        self.deck, self.reader = deck, resp.CommandReader()
-        self.number = deck.sessions
-        self.order: deque[Job] = deque()
+    def __init__(self, backend: Backend) -> None:
+        self.backend, self.reader = backend, resp.CommandReader()
+        self.number = backend.session_count
+        self.unanswered: deque[Job] = deque()  # in the order of their commands
 
     def connectionMade(self) -> None:  # noqa: N802
-        """The connection is up."""
+        """Register the open connection."""
         super().connectionMade()
-        self.deck.open_sessions.add(self)
+        self.backend.open_sessions.add(self)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Bytes of a limiter."""
+        """Process the commands of a limiter."""
         try:
             for command in self.reader.feed(data):
                 if command.name in (resp.SAFE, resp.OTHER):
-                    self.order.append(self.deck.take(self, resp.Call.read(command)))
+                    self.unanswered.append(self.backend.receive(self, resp.Call.read(command)))
                 else:
                     answer = resp.PONG if command.name == b"PING" else resp.error("unknown command")
-                    self.order.append(Job(self, b"", 0.0, reply=answer))
+                    self.unanswered.append(Job(self, b"", 0.0, reply=answer))
             self.flush()
         except MalformedError:
-            self.deck.tally["malformed"] += 1
+            self.backend.counts["malformed"] += 1
             self.send(b"-SYNTAX\r\n")
             self.close()
 
     def flush(self) -> None:
-        """Answer what is done, in order."""
-        while self.order and self.order[0].reply and not self.deck.hangs:
-            job = self.order.popleft()
-            self.deck.note("end", job)
+        """Send the answers that are ready, in the order of the commands."""
+        while self.unanswered and self.unanswered[0].reply and not self.backend.is_hanging:
+            job = self.unanswered.popleft()
+            self.backend.note("end", job)
             self.send(job.reply)
 
     def lost(self) -> None:
-        """The limiter has ended the connection."""
-        self.deck.open_sessions.discard(self)
-        for job in self.order:
-            self.deck.note("end", job)
+        """Record the end of the attempts that were open on the connection."""
+        self.backend.open_sessions.discard(self)
+        for job in self.unanswered:
+            self.backend.note("end", job)
 
 
 class HttpSession(Stream):
-    """One connection to counter or director: requests are answered in order."""
+    """One connection to the counter or to discovery; requests are answered in order."""
 
-    def __init__(self, asked: Callable[[HttpSession, str, str], None]) -> None:
-        self.asked = asked
-        self.reader = Requests(lambda method, url, keep: asked(self, method, url))
+    def __init__(self, on_request: Callable[[HttpSession, str, str], None]) -> None:
+        self.on_request = on_request
+        self.reader = UrlReader(lambda method, url, keep: on_request(self, method, url))
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Bytes of a limiter."""
+        """Process the requests of a limiter."""
         try:
             self.reader.feed(data)
         except MalformedError:
@@ -246,21 +261,24 @@
             self.close()
 
     def answer(self, body: bytes) -> None:
-        """Say OK, with a body."""
+        """Send a response with status 200."""
         self.send(http.response(200, "OK", body))
 
 
-class Requests(http.RequestReader):
-    """Requests with their queries."""
+class UrlReader(http.RequestReader):
+    """Reads requests and passes on their URLs with the query, which the base class cuts off."""
 
     def on_message_complete(self) -> None:
-        """A request is whole."""
+        """Pass on a complete request."""
         url, self.url = self.url, b""
         self.take(self.parser.get_method().decode(), url.decode("ascii", "replace"), True)
 
 
 class Counter(Factory):
-    """The shared counter: adds, after a service time in one line; silent or empty on command."""
+    """The shared counter.
+
+    It serves one addition at a time; on command it stops answering or loses all numbers.
+    """
 
     noisy = False
 
@@ -268,152 +286,156 @@
         self.reactor, self.service_s = reactor, service_ms / 1000.0
         self.numbers: dict[str, float] = {}
         self.free_at = 0.0
-        self.silent = False
+        self.is_unresponsive = False
         self.calls = 0
-        self.units = 0.0  # added in all
+        self.units = 0.0  # sum of all additions
 
     def buildProtocol(self, addr: Any) -> HttpSession:  # noqa: N802
-        """A limiter connects."""
-        return HttpSession(self.asked)
+        """Accept a limiter's connection."""
+        return HttpSession(self.handle_request)
 
-    def asked(self, session: HttpSession, method: str, url: str) -> None:
-        """One call."""
+    def handle_request(self, session: HttpSession, method: str, url: str) -> None:
+        """Check a call and add its delta once the additions before it are done."""
         parts = urlsplit(url)
         query = parse_qs(parts.query)
         name, delta = parts.path.removeprefix("/v2/numbers/"), query.get("delta", [""])[0]
-        if method != "POST" or not 1 <= len(name) <= 64 or DELTA.fullmatch(delta) is None:
+        if method != "POST" or not 1 <= len(name) <= 64 or DELTA_PATTERN.fullmatch(delta) is None:
             session.send(http.response(400, "Bad Request", b""))
             return
         self.calls += 1
-        if self.silent:
+        if self.is_unresponsive:
             return
-        if abs(float(delta)) > AMOUNT_MOST:
+        if abs(float(delta)) > MAX_DELTA:
             session.send(http.response(400, "Bad Request", b""))
             return
         self.free_at = max(self.reactor.seconds(), self.free_at) + self.service_s
-        wait = self.free_at - self.reactor.seconds()
-        self.reactor.callLater(wait, self._added, session, name, float(delta))
+        wait_s = self.free_at - self.reactor.seconds()
+        self.reactor.callLater(wait_s, self._add, session, name, float(delta))
 
-    def _added(self, session: HttpSession, name: str, delta: float) -> None:
+    def _add(self, session: HttpSession, name: str, delta: float) -> None:
         self.numbers[name] = self.numbers.get(name, 0.0) + delta
         self.units += delta
         session.answer(f"{self.numbers[name]:.6f}".encode())
 
-    def become(self, how: str) -> None:
-        """Fall silent, come back empty, or be well."""
-        self.silent = how == "silent"
-        if how == "empty":
+    def set_state(self, state: str) -> None:
+        """Stop answering (`silent`), lose all numbers (`empty`), or work normally (`well`)."""
+        self.is_unresponsive = state == "silent"
+        if state == "empty":
             self.numbers.clear()
 
 
 @dataclass(eq=False)
 class Discovery(Factory):
-    """The director: the whole list, or a watch that is answered once something changes."""
+    """Discovery: sends the complete endpoint list, or answers a watch at the next change."""
 
     reactor: Any
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
     generation: int = 1
     watches: dict[HttpSession, tuple[int, Any]] = field(default_factory=dict)
-    changed: list[tuple[int, dict[str, Any]]] = field(default_factory=list)
-    silent: bool = False
+    changes: list[tuple[int, dict[str, Any]]] = field(default_factory=list)
+    is_unresponsive: bool = False
     noisy = False
 
     def buildProtocol(self, addr: Any) -> HttpSession:  # noqa: N802
-        """A limiter connects."""
-        return HttpSession(self.asked)
+        """Accept a limiter's connection."""
+        return HttpSession(self.handle_request)
 
-    def asked(self, session: HttpSession, method: str, url: str) -> None:
-        """One call."""
-        if self.silent:
+    def handle_request(self, session: HttpSession, method: str, url: str) -> None:
+        """Send the endpoint list or the changes since a generation, or hold a watch open."""
+        if self.is_unresponsive:
             return
         query = parse_qs(urlsplit(url).query)
         if "from" not in query:
-            self._tell(session, True, list(self.entries.values()))
+            self._send_entries(session, True, list(self.entries.values()))
             return
         known = int(query["from"][0])
-        hold = min(HOLD_MOST_MS, float(query.get("hold_ms", ["0"])[0]))
+        hold_ms = min(MAX_HOLD_MS, float(query.get("hold_ms", ["0"])[0]))
         if known < self.generation:
-            self._tell(session, False, [entry for at, entry in self.changed if at > known])
+            self._send_entries(session, False, [entry for at, entry in self.changes if at > known])
         else:
-            alarm = self.reactor.callLater(hold / 1000.0, self._held, session)
-            self.watches[session] = known, alarm
+            timeout = self.reactor.callLater(hold_ms / 1000.0, self._end_watch, session)
+            self.watches[session] = known, timeout
 
-    def change(self, name: str, lifecycle: str) -> None:
-        """An entry changes: whoever watches is told."""
+    def update_entry(self, name: str, lifecycle: str) -> None:
+        """Change the lifecycle of an entry and answer all watches."""
         self.generation += 1
         entry = {**self.entries[name], "lifecycle": lifecycle}
-        self.changed.append((self.generation, entry))
+        self.changes.append((self.generation, entry))
         if lifecycle == "gone":
             del self.entries[name]
         else:
             self.entries[name] = entry
-        for session, (_, alarm) in list(self.watches.items()):
-            alarm.cancel()
+        for session, (_, timeout) in list(self.watches.items()):
+            timeout.cancel()
             del self.watches[session]
-            self._tell(session, False, [entry])
+            self._send_entries(session, False, [entry])
 
-    def _held(self, session: HttpSession) -> None:
+    def _end_watch(self, session: HttpSession) -> None:
         if self.watches.pop(session, None) is not None:
-            self._tell(session, False, [])
+            self._send_entries(session, False, [])
 
-    def _tell(self, session: HttpSession, whole: bool, entries: list[dict[str, Any]]) -> None:
-        answer = {"generation": self.generation, "reset": whole, "instances": entries}
+    def _send_entries(self, session: HttpSession, is_complete: bool, entries: list[dict[str, Any]]) -> None:
+        answer = {"generation": self.generation, "reset": is_complete, "instances": entries}
         session.answer(orjson.dumps(answer))
 
 
 class StandIns:
-    """All of a run."""
+    """All stand-ins of a run."""
 
     def __init__(self, reactor: Any, plan: Plan) -> None:
         self.reactor = reactor
-        self.decks = {spec.name: Backend(reactor, spec, plan) for spec in plan.backends}
-        self.seen: list[dict[str, Any]] = []
-        for deck in self.decks.values():
-            deck.seen = self.seen if plan.record else None
-        self.counter, self.director = Counter(reactor, plan.counter_ms), Discovery(reactor)
+        self.backends = {spec.name: Backend(reactor, spec, plan) for spec in plan.backends}
+        self.events: list[dict[str, Any]] = []
+        for backend in self.backends.values():
+            backend.events = self.events if plan.record else None
+        self.counter, self.discovery = Counter(reactor, plan.counter_ms), Discovery(reactor)
         self.addresses: dict[str, Any] = {}
 
     def listen(self, unix_ms: float) -> dict[str, Any]:
-        """Bind free ports of 127.0.0.1; returns the addresses."""
-        for name, deck in self.decks.items():
-            port = self.reactor.listenTCP(0, deck, 512, "127.0.0.1").getHost().port
-            cold = deck.spec.cold_from < 1.0
-            self.director.entries[name] = {
+        """Bind free ports of 127.0.0.1 and return the addresses."""
+        for name, backend in self.backends.items():
+            port = self.reactor.listenTCP(0, backend, 512, "127.0.0.1").getHost().port
+            is_cold = backend.spec.cold_from < 1.0
+            self.discovery.entries[name] = {
                 "instanceId": name, "hostPort": f"127.0.0.1:{port}", "zone": "a", "machineType": "std",
                 "cell": 0, "lifecycle": "ready", "weight": 1.0,
-                "startedAtMs": round(unix_ms) if cold else 0,
+                "startedAtMs": round(unix_ms) if is_cold else 0,
             }  # fmt: skip
-        ports = [self.reactor.listenTCP(0, f, 512, "127.0.0.1") for f in (self.director, self.counter)]
-        director, counter = (f"127.0.0.1:{port.getHost().port}" for port in ports)
-        self.addresses = {"discovery": director, "counter": counter}
+        ports = [self.reactor.listenTCP(0, f, 512, "127.0.0.1") for f in (self.discovery, self.counter)]
+        discovery, counter = (f"127.0.0.1:{port.getHost().port}" for port in ports)
+        self.addresses = {"discovery": discovery, "counter": counter}
         return self.addresses
 
-    def follow(self, command: dict[str, Any]) -> dict[str, Any]:
-        """One command; what is there to tell."""
-        if how := command.get("counter"):
-            self.counter.become(how)
-        if how := command.get("discovery"):
-            self.director.silent = how == "silent"
-        for word, hangs in (("hang", True), ("well", False)):
-            if name := command.get(word):
-                self.decks[name].become(hangs)
+    def execute_command(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Carry out one command and return its answer, which is empty for all commands but `tell`."""
+        if state := command.get("counter"):
+            self.counter.set_state(state)
+        if state := command.get("discovery"):
+            self.discovery.is_unresponsive = state == "silent"
+        for key, is_hanging in (("hang", True), ("well", False)):
+            if name := command.get(key):
+                self.backends[name].set_hanging(is_hanging)
         if name := command.get("reset"):
-            self.decks[name].reset()
-        for word, lifecycle in (("drain", "draining"), ("gone", "gone")):
-            if name := command.get(word):
-                self.decks[name].drains, self.decks[name].drained_at = True, self.reactor.seconds()
-                self.director.change(name, lifecycle)
-        return self.told() if command.get("tell") else {}
-
-    def told(self) -> dict[str, Any]:
-        """What the stand-ins have seen, rules broken among it."""
-        decks = {name: deck.tally for name, deck in self.decks.items()}
-        kept = {"seen": self.seen} if self.seen else {}
-        return {"decks": decks, **kept, "counter": {"calls": self.counter.calls, "units": self.counter.units}}
-
-
-class Commands(LineReceiver):
-    """Standard input: the plan, then commands."""
+            self.backends[name].reset()
+        for key, lifecycle in (("drain", "draining"), ("gone", "gone")):
+            if name := command.get(key):
+                self.backends[name].is_draining, self.backends[name].drain_at = True, self.reactor.seconds()
+                self.discovery.update_entry(name, lifecycle)
+        return self.report() if command.get("tell") else {}
+
+    def report(self) -> dict[str, Any]:
+        """Return what the stand-ins have counted and recorded, including violations of rules."""
+        counts = {name: backend.counts for name, backend in self.backends.items()}
+        recorded = {"seen": self.events} if self.events else {}
+        return {
+            "decks": counts,
+            **recorded,
+            "counter": {"calls": self.counter.calls, "units": self.counter.units},
+        }
+
+
+class ControlChannel(LineReceiver):
+    """Reads the plan and then commands from standard input, and writes answers to standard output."""
 
     delimiter = b"\n"
     MAX_LENGTH = 1024 * 1024
@@ -423,39 +445,39 @@
         self.standins: StandIns | None = None
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """One object."""
-        given = orjson.loads(line)
+        """Start the stand-ins with the plan of the first line; execute the command of any other line."""
+        message = orjson.loads(line)
         if self.standins is None:
-            self.standins = StandIns(self.reactor, Plan.read(given))
-            self.tell(self.standins.listen(self.unix_ms()))
-        elif answer := self.standins.follow(given):
-            self.tell(answer)
+            self.standins = StandIns(self.reactor, Plan.read(message))
+            self.write_line(self.standins.listen(self.unix_ms()))
+        elif answer := self.standins.execute_command(message):
+            self.write_line(answer)
 
-    def tell(self, answer: dict[str, Any]) -> None:
-        """One line of standard output."""
+    def write_line(self, answer: dict[str, Any]) -> None:
+        """Write one line to standard output."""
         transport: Any = self.transport
         transport.write(orjson.dumps(answer) + b"\n")
 
     def connectionLost(self, reason: Any = connectionDone) -> None:  # noqa: N802
-        """Whoever started this has gone."""
+        """Stop when the parent process has closed standard input."""
         if self.reactor.running:
             self.reactor.stop()
 
 
-def draw_speeds(count: int, least: float, most: float, seed: int) -> list[float]:
-    """The speeds of a fleet's cores."""
-    drawn = random.Random(seed)
-    return [round(drawn.uniform(least, most), 3) for _ in range(count)]
+def draw_speeds(count: int, min_speed: float, max_speed: float, seed: int) -> list[float]:
+    """Draw the speed of the cores of each backend of a fleet."""
+    rng = random.Random(seed)
+    return [round(rng.uniform(min_speed, max_speed), 3) for _ in range(count)]
 
 
 def main() -> int:
     """Run the stand-ins of one run."""
     from twisted.internet import reactor
 
-    run: Any = reactor
-    make: Any = stdio.StandardIO
-    make(Commands(run, lambda: time.time() * 1000.0))
-    run.run()
+    any_reactor: Any = reactor
+    standard_io: Any = stdio.StandardIO
+    standard_io(ControlChannel(any_reactor, lambda: time.time() * 1000.0))
+    any_reactor.run()
     return 0
 
 
