--- a/scalelb/lab/idempotency.py
+++ b/scalelb/lab/idempotency.py
@@ -1,6 +1,7 @@
-"""Keyed requests whose repeats only a zone drops, through kills, splits and lost zones, in virtual time.
+"""Requests with idempotency keys whose duplicates only one zone drops, under faults and in virtual time.
 
-Clients whose limiter died come again with the same key through another one. What ran in two zones ran twice.
+Limiters are killed, their links are cut and zones are removed, while clients whose limiter died retry with
+the same key through another limiter.  A request that was executed in two zones was executed twice.
 `python -m scalelb.lab.idempotency` prints the table of `docs/replication.md`.
 """
 
@@ -15,15 +16,15 @@
 from scalelb.core.incoming_request import IncomingRequest
 from scalelb.core.request_table import OpenRequest, Verdict
 from scalelb.lab.experiment import Fleet
-from scalelb.lab.flock import Flock, Member
 from scalelb.lab.model import START_MS
+from scalelb.lab.simulated_cluster import Member, SimulatedCluster
 from scalelb.policy.endpoints import EndpointState
 from scalelb.policy.events import Outcome
 from scalelb.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 WINDOW_MS, DEADLINE_MS = 4000.0, 4000.0
 CLASS = RequestClass(1000.0, DEADLINE_MS, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, WINDOW_MS)
-SITE = Settings(
+LIMITER_SETTINGS = Settings(
     limiter_index=0,
     limiter_count=8,
     zone=0,
@@ -38,39 +39,39 @@
     sends_retry_after=True,
     max_retry_after_ms=1000.0,
 )
-BEGIN_MS = 3000.0  # links have settled by then
+BEGIN_MS = 3000.0  # The load starts at this time, when all limiters have settled.
 
 
 @dataclass(frozen=True)
 class Case:
-    """One run."""
+    """The parameters of one run."""
 
     seed: int = 1
     limiters: int = 8
     requests: int = 10_000
-    per_s: float = 200.0
-    kills_s: float = 2.0
+    per_s: float = 200.0  # requests per second
+    kills_per_s: float = 2.0
     linked: bool = True
-    keys: bool = True  # the decisions are told the keys
-    splits: bool = False  # the limiters' links are cut in halves, 3 of every 8 s
-    lost_zones: bool = False  # a zone leaves the list for 2 of every 6 s, and comes back
-    back_ms: tuple[float, float] = (5.0, 300.0)  # after which a client comes again
+    keys: bool = True  # whether limiters get the idempotency keys
+    splits: bool = False  # whether the links between two halves of the limiters are cut for 3 of every 8 s
+    lost_zones: bool = False  # whether a zone is missing from the endpoint lists for 2 of every 6 s
+    retry_delay_ms: tuple[float, float] = (5.0, 300.0)  # from the kill of a limiter to its clients' retries
 
 
 class Client:
-    """One client's request and its repeats."""
+    """One client request and its retries."""
 
     def __init__(self, run: Run, key: str) -> None:
         self.run, self.key = run, key
         self.limiter: Any = None
-        self.verdict, self.tries = "", 0
+        self.verdict, self.attempts = "", 0
 
-    def ask(self) -> None:
-        """Through some limiter that runs."""
+    def submit(self) -> None:
+        """Submit the request to a random limiter that is running."""
         run = self.run
-        alive: list[Any] = [m for m in run.limiters if not getattr(m, "dead", True)]
-        self.limiter, self.tries = run.drawn.choice(alive), self.tries + 1
-        run.open.setdefault(id(self.limiter), {})[self.key] = self
+        running: list[Any] = [m for m in run.limiters if not getattr(m, "dead", True)]
+        self.limiter, self.attempts = run.rng.choice(running), self.attempts + 1
+        run.open_requests.setdefault(id(self.limiter), {})[self.key] = self
         incoming = IncomingRequest(
             tenant="c",
             plan_index=0,
@@ -79,129 +80,135 @@
             units=1.0,
             sharing_limiters=len(run.limiters),
             idempotency_key=self.key if run.case.keys else "",
-            is_retry=self.tries > 1,
+            is_retry=self.attempts > 1,
         )
-        payload = (None, run.drawn.uniform(10.0, 60.0), self.key)
+        payload = (None, run.rng.uniform(10.0, 60.0), self.key)
         self.limiter.timed(self.limiter.core.submit, self, payload, incoming)
 
     def on_answer(
         self, request: OpenRequest, verdict: Verdict, value: memoryview | None, retry_after_ms: float
     ) -> None:
-        """The final answer."""
-        self.run.open.get(id(self.limiter), {}).pop(self.key, None)
-        if verdict is Verdict.REJECTED and self.tries < 4:
-            self.run.kernel.after(retry_after_ms, self.ask)
+        """Record the final answer, or retry if the request was rejected."""
+        self.run.open_requests.get(id(self.limiter), {}).pop(self.key, None)
+        if verdict is Verdict.REJECTED and self.attempts < 4:
+            self.run.kernel.after(retry_after_ms, self.submit)
         else:
             self.verdict = verdict.value
-            self.run.ends[verdict.value] += 1
+            self.run.verdicts[verdict.value] += 1
 
 
-class Life(Member):
-    """A life whose attempts are seen where they run."""
+class RecordingMember(Member):
+    """An incarnation of a limiter that records in which zone its attempts are executed."""
 
     def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
-        """No meter: nothing has a quota here."""
-        attempt, link = request.attempt_number, self.world.fleet.link_ms
+        """Send an attempt without the quota meter: the plan has no quota."""
+        attempt_number, link_ms = request.attempt_number, self.world.fleet.link_ms
 
-        def ended(outcome: Outcome) -> None:
-            self.kernel.after(link, self._attempt_ended, request, attempt, outcome)
+        def on_end(outcome: Outcome) -> None:
+            self.kernel.after(link_ms, self._attempt_ended, request, attempt_number, outcome)
 
-        def begin() -> None:  # it is in the kernel's hands: it arrives whether or not its sender lives
-            request.attempt_handle = self.reached(request, endpoint, ended)
+        def arrive() -> None:  # A sent attempt arrives even if its limiter is killed.
+            request.attempt_handle = self.deliver_attempt(request, endpoint, on_end)
 
-        self.kernel.after(link, begin)
+        self.kernel.after(link_ms, arrive)
 
-    def reached(
-        self, request: OpenRequest, server: str, ended: Callable[[Outcome], None]
+    def deliver_attempt(
+        self, request: OpenRequest, server: str, on_end: Callable[[Outcome], None]
     ) -> Callable[[], None]:
-        """An attempt has come to its server: it may run there."""
-        run: Any = self.flock
-        run.ran[request.payload[2]].add(run.zones[server])
-        return super().reached(request, server, ended)
+        """Record the zone of the server, which may now execute the attempt."""
+        run: Any = self.cluster
+        run.zones_by_key[request.payload[2]].add(run.zones[server])
+        return super().deliver_attempt(request, server, on_end)
 
 
-class Run(Flock):
-    """One case."""
+class Run(SimulatedCluster):
+    """One run of a case."""
 
     def __init__(self, case: Case) -> None:
-        self.case, self.drawn = case, random.Random(f"keyed {case.seed}")
-        self.open: dict[int, dict[str, Client]] = {}
-        self.ran: defaultdict[str, set[int]] = defaultdict(set)
-        self.ends: Counter[str] = Counter()
-        self.lost: int | None = None  # the zone that is off the lists
+        self.case, self.rng = case, random.Random(f"keyed {case.seed}")
+        self.open_requests: dict[int, dict[str, Client]] = {}  # by limiter and key
+        self.zones_by_key: defaultdict[str, set[int]] = defaultdict(set)
+        self.verdicts: Counter[str] = Counter()
+        self.removed_zone: int | None = None  # the zone that is missing from the endpoint lists
         super().__init__(
-            replace(SITE, limiter_count=case.limiters),
+            replace(LIMITER_SETTINGS, limiter_count=case.limiters),
             seed=case.seed,
             linked=case.linked,
             fleet=Fleet(servers=18, cores=8, room=60, zones=3),
         )
-        self.zones = {info.name: info.zone for info in self.infos}
-        self.length = 1000.0 * case.requests / case.per_s
-        at = BEGIN_MS
+        self.zones = {endpoint.name: endpoint.zone for endpoint in self.endpoints}
+        self.load_ms = 1000.0 * case.requests / case.per_s
+        arrives_at = BEGIN_MS
         for number in range(case.requests):
-            at += self.drawn.expovariate(case.per_s) * 1000.0
-            self.kernel.at(START_MS + at, Client(self, f"{number:016x}").ask)
-        for number in range(int(self.length / 1000.0 * case.kills_s)):
-            self.kernel.at(START_MS + BEGIN_MS + 1000.0 / case.kills_s * (number + 0.5), self.strike)
+            arrives_at += self.rng.expovariate(case.per_s) * 1000.0
+            self.kernel.at(START_MS + arrives_at, Client(self, f"{number:016x}").submit)
+        for number in range(int(self.load_ms / 1000.0 * case.kills_per_s)):
+            self.kernel.at(
+                START_MS + BEGIN_MS + 1000.0 / case.kills_per_s * (number + 0.5), self.kill_random_limiter
+            )
         if case.splits:
             self.kernel.at(START_MS + BEGIN_MS + 2000.0, self.split)
         if case.lost_zones:
-            self.kernel.at(START_MS + BEGIN_MS + 1000.0, self.lose, 0)
-
-    def make(self, index: int) -> Any:
-        """A new life: it has the list that holds now."""
-        life, self.lives[index] = self.lives[index], self.lives[index] + 1
-        made = Life(self, index, replace(self.settings, limiter_index=index), life)
-        if self.lost is not None:
-            self.tell(made, self.lost, EndpointState.REMOVED)
-        return made
-
-    def strike(self) -> None:
-        """One limiter dies; its clients come again through others."""
-        index = self.drawn.randrange(len(self.limiters))
-        some = self.open.pop(id(self.limiters[index]), {})
+            self.kernel.at(START_MS + BEGIN_MS + 1000.0, self.remove_zone, 0)
+
+    def create_limiter(self, index: int) -> Any:
+        """Create the next incarnation of a limiter, with the current endpoint list."""
+        incarnation, self.incarnations[index] = self.incarnations[index], self.incarnations[index] + 1
+        member = RecordingMember(self, index, replace(self.settings, limiter_index=index), incarnation)
+        if self.removed_zone is not None:
+            self.update_endpoints(member, self.removed_zone, EndpointState.REMOVED)
+        return member
+
+    def kill_random_limiter(self) -> None:
+        """Kill a random limiter; its clients retry through other limiters."""
+        index = self.rng.randrange(len(self.limiters))
+        clients = self.open_requests.pop(id(self.limiters[index]), {})
         self.kill(index, 300.0)
-        for client in some.values():
-            self.kernel.after(self.drawn.uniform(*self.case.back_ms), client.ask)
+        for client in clients.values():
+            self.kernel.after(self.rng.uniform(*self.case.retry_delay_ms), client.submit)
 
     def split(self) -> None:
-        """The links between two halves carry nothing for 3 s, again and again."""
-        half = set(self.drawn.sample(self.names, len(self.names) // 2))
+        """Cut the links between two random halves of the limiters for 3 s, and again every 8 s."""
+        half = set(self.rng.sample(self.names, len(self.names) // 2))
         self.cut(half, set(self.names) - half)
         self.kernel.after(3000.0, self.heal)
-        if self.now < self.length:
+        if self.now < self.load_ms:
             self.kernel.after(8000.0, self.split)
 
-    def lose(self, zone: int) -> None:
-        """A zone leaves the lists, at each limiter at a time of its own, and comes back."""
-        self.lost = zone
+    def remove_zone(self, zone: int) -> None:
+        """Remove a zone from the endpoint list of each limiter, with random delays, and restore it later."""
+        self.removed_zone = zone
         for limiter in self.limiters:
-            self.kernel.after(self.drawn.uniform(0.0, 800.0), self.tell, limiter, zone, EndpointState.REMOVED)
-        self.kernel.after(2000.0, self.find, zone)
-        if self.now < self.length:
-            self.kernel.after(6000.0, self.lose, (zone + 1) % 3)
-
-    def find(self, zone: int) -> None:
-        """It comes back."""
-        self.lost = None
+            self.kernel.after(
+                self.rng.uniform(0.0, 800.0), self.update_endpoints, limiter, zone, EndpointState.REMOVED
+            )
+        self.kernel.after(2000.0, self.restore_zone, zone)
+        if self.now < self.load_ms:
+            self.kernel.after(6000.0, self.remove_zone, (zone + 1) % 3)
+
+    def restore_zone(self, zone: int) -> None:
+        """Restore a zone on the endpoint list of each limiter, with random delays."""
+        self.removed_zone = None
         for limiter in self.limiters:
-            self.kernel.after(self.drawn.uniform(0.0, 800.0), self.tell, limiter, zone, EndpointState.SERVING)
+            self.kernel.after(
+                self.rng.uniform(0.0, 800.0), self.update_endpoints, limiter, zone, EndpointState.SERVING
+            )
 
-    def tell(self, limiter: Any, zone: int, state: EndpointState) -> None:
-        """A limiter's list changes."""
-        some = tuple(replace(info, state=state) for info in self.infos if info.zone == zone)
+    def update_endpoints(self, limiter: Any, zone: int, state: EndpointState) -> None:
+        """Change the state of all endpoints of a zone on the endpoint list of a limiter."""
+        changed = tuple(replace(entry, state=state) for entry in self.endpoints if entry.zone == zone)
         if not limiter.dead:
-            limiter.timed(limiter.core.on_endpoints, some, False)
+            limiter.timed(limiter.core.on_endpoints, changed, False)
 
     def play(self) -> dict[str, int]:
-        """To its end; how many keys ran in more than one zone."""
-        self.run(BEGIN_MS + self.length + 12_000.0)
-        twice = sum(len(zones) > 1 for zones in self.ran.values())
-        return {"asked": self.case.requests, "ran": len(self.ran), "twice": twice, **self.ends}
+        """Run to the end; return the number of keys that were executed in two zones, and the verdicts."""
+        self.run(BEGIN_MS + self.load_ms + 12_000.0)
+        twice = sum(len(zones) > 1 for zones in self.zones_by_key.values())
+        return {"asked": self.case.requests, "ran": len(self.zones_by_key), "twice": twice, **self.verdicts}
 
 
 def main() -> None:
-    """The table."""
+    """Print the table."""
     cases = {
         "kills": Case(),
         "kills and splits": Case(splits=True),
@@ -216,8 +223,8 @@
     for name, case in cases.items():
         for way, fields in ways.items():
             for seed in (1, 2):
-                found = Run(replace(case, seed=seed, **fields)).play()
-                print(f"{name:24} {way:8} seed {seed}", found, flush=True)
+                result = Run(replace(case, seed=seed, **fields)).play()
+                print(f"{name:24} {way:8} seed {seed}", result, flush=True)
 
 
 if __name__ == "__main__":
--- a/scalelb/lab/model_check.py
+++ b/scalelb/lab/model_check.py
@@ -1,10 +1,10 @@
-"""Every order of messages, losses, crashes and expiring leases, in the code of the agreement.
+"""Model checker for the consensus code: explores orders of messages, losses, crashes and expiring leases.
 
-A world is some acceptors, proposers and learners, the messages in flight, and one clock that goes on in
-steps. From each state every message may arrive next, or never; an acceptor may crash, with its store or
-without; time may go on. States that were seen are not searched twice. The invariant is checked in each: once
-any learner has decided by a version none decides by an older one, and a version has one value. `python -m
-scalelb.lab.model_check [STATES]` prints how many states were looked at.
+A `World` is one state: acceptors, proposers and learners, the messages in flight, and one clock that advances
+in steps.  From each state any message may arrive next, or never; an acceptor may crash and keep or lose its
+store; time may advance.  States that were visited are not searched again.  The invariant is checked in each
+state: after any learner has used a version, none uses an older one, and a version has one value.
+`python -m scalelb.lab.model_check [STATES]` prints how many states were checked.
 """
 
 from __future__ import annotations
@@ -27,48 +27,49 @@
 
 
 class Disk:
-    """A store that lasts as long as it is not taken away."""
+    """The store of an acceptor; it survives a crash unless the crash loses it."""
 
     def __init__(self) -> None:
-        self.kept: bytes | None = None
-        self.synced = True  # planted fault: what is saved is lost in a crash
+        self.saved: bytes | None = None
+        self.synced = True  # False plants a fault: writes after the first one are lost
 
     def load(self) -> dict[str, Any] | None:
-        """What was saved last."""
-        return pickle.loads(self.kept) if self.kept is not None else None
+        """Return the state that was saved last, or None if there is none."""
+        return pickle.loads(self.saved) if self.saved is not None else None
 
     def save(self, state: dict[str, Any]) -> None:
-        """Keep it."""
-        if self.synced or self.kept is None:
-            self.kept = pickle.dumps(state)
+        """Save a state."""
+        if self.synced or self.saved is None:
+            self.saved = pickle.dumps(state)
 
 
 class World:
-    """One state."""
+    """One state of the system under test."""
 
     def __init__(self, proposers: int = 2, learners: int = 2, crashes: int = 1, losses: int = 0) -> None:
+        """`crashes` and `losses` limit how many crashes keep and how many lose the store."""
         self.now = 0.0
-        self.crashes, self.losses = crashes, losses  # left
+        self.crashes, self.losses = crashes, losses  # still allowed
         self.disks = {name: Disk() for name in ACCEPTORS}
         self.acceptors = {
             n: Acceptor(n, ACCEPTORS, self.disks[n], TIMES, -10 * STEP_MS, is_new_register=True)
             for n in ACCEPTORS
         }
-        for acceptor in self.acceptors.values():  # version 1 was decided long ago
+        for acceptor in self.acceptors.values():  # all know that version 1 is decided
             acceptor.receive(Decided(1, "one").to_wire(), 0.0)
-        some = [f"p{n}" for n in range(proposers)]
-        self.proposers = {n: Proposer(n, ACCEPTORS, 2, f"two of {n}", "one") for n in some}
+        proposer_names = [f"p{n}" for n in range(proposers)]
+        self.proposers = {n: Proposer(n, ACCEPTORS, 2, f"two of {n}", "one") for n in proposer_names}
         self.learners = {f"l{n}": Learner(f"l{n}", "x", ACCEPTORS, TIMES) for n in range(learners)}
         self.in_flight: set[bytes] = set()  # pickled: receiver, sender, message
         self.requested: set[tuple[str, float]] = set()
-        self.decided = 0  # the newest version that anyone has decided by
+        self.newest_used = 0  # the newest version that any learner has used
         self.values: dict[int, str] = {}
-        self.wrong = ""
+        self.violation = ""
 
-    # What may happen next
+    # Possible steps
 
     def steps(self) -> Iterator[Callable[[World], None]]:
-        """All that may happen."""
+        """Yield every step that is possible in this state."""
         for packed in sorted(self.in_flight):
             yield partial(World.deliver, packed=packed)
         for name, proposer in self.proposers.items():
@@ -79,47 +80,47 @@
                 yield partial(World.request_leases, name=name)
         for name in ACCEPTORS:
             if self.crashes:
-                yield partial(World.crash, name=name, keeps=True)
+                yield partial(World.crash, name=name, keeps_store=True)
             if self.losses:
-                yield partial(World.crash, name=name, keeps=False)
+                yield partial(World.crash, name=name, keeps_store=False)
         if self.now < 4 * STEP_MS:
             yield World.pass_time
 
     def propose(self, name: str) -> None:
-        """A proposer begins, or begins anew."""
+        """Start the first or the next attempt of a proposer."""
         self.to_all(name, self.proposers[name].begin_attempt())
 
     def to_all(self, sender: str, message: WireMessage | None) -> None:
-        """A message to all acceptors is in flight."""
+        """Send a message to all acceptors."""
         if message is not None:
             self.in_flight |= {pickle.dumps((name, sender, sorted(message.items()))) for name in ACCEPTORS}
 
     def request_leases(self, name: str) -> None:
-        """A learner requests its leases."""
+        """Let a learner request its leases."""
         self.requested.add((name, self.now))
         self.to_all(name, self.learners[name].request_leases(self.now))
 
     def deliver(self, packed: bytes) -> None:
-        """One message arrives; it is in flight no more (what is sent again is another message)."""
+        """Deliver one message and remove it; a message that is sent again is another one."""
         self.in_flight.discard(packed)
-        to, sender, items = pickle.loads(packed)
+        receiver, sender, items = pickle.loads(packed)
         message = dict(items)
-        if to in self.acceptors:
-            reply = self.acceptors[to].receive(message, self.now)
+        if receiver in self.acceptors:
+            reply = self.acceptors[receiver].receive(message, self.now)
             if kind_of(reply) not in (Kind.ACKNOWLEDGED, Kind.STATE_LOST):
-                self.in_flight.add(pickle.dumps((sender, to, sorted(reply.items()))))
-        elif to in self.proposers:
-            self.to_all(to, self.proposers[to].receive(message))
+                self.in_flight.add(pickle.dumps((sender, receiver, sorted(reply.items()))))
+        elif receiver in self.proposers:
+            self.to_all(receiver, self.proposers[receiver].receive(message))
         else:
-            self.to_all(to, self.learners[to].receive(message, self.now))
+            self.to_all(receiver, self.learners[receiver].receive(message, self.now))
 
-    def crash(self, name: str, keeps: bool) -> None:
-        """An acceptor dies and is back at once; messages to it may still arrive."""
-        if keeps:
+    def crash(self, name: str, keeps_store: bool) -> None:
+        """Crash an acceptor and restart it at once; messages to it may still arrive."""
+        if keeps_store:
             self.crashes -= 1
         else:
             self.losses -= 1
-            self.disks[name].kept = None
+            self.disks[name].saved = None
         self.acceptors[name] = Acceptor(name, ACCEPTORS, self.disks[name], TIMES, self.now)
         if self.acceptors[name].has_lost_state:
             for other in ACCEPTORS:
@@ -128,95 +129,100 @@
                     self.acceptors[name].receive(report, self.now)
 
     def pass_time(self) -> None:
-        """A step of the clock."""
+        """Advance the clock by one step."""
         self.now += STEP_MS
 
-    # What must hold
+    # Invariant
 
-    def look(self) -> str:
-        """What is wrong in this state; empty: nothing."""
-        by = {name: learner.permitted_version(self.now) for name, learner in self.learners.items()}
-        self.decided = max([self.decided, *by.values()])
-        for name, version in by.items():
-            if version and version < self.decided:
-                return f"{name} decides by {version} after {self.decided} was decided by"
+    def find_violation(self) -> str:
+        """Return a description of the violation in this state; it is empty if there is none."""
+        used = {name: learner.permitted_version(self.now) for name, learner in self.learners.items()}
+        self.newest_used = max([self.newest_used, *used.values()])
+        for name, version in used.items():
+            if version and version < self.newest_used:
+                return f"{name} uses version {version} after version {self.newest_used} was used"
             value = self.learners[name].value
             if version and self.values.setdefault(version, value) != value:
-                return f"version {version} is {value!r} and {self.values[version]!r}"
+                return f"version {version} has two values: {value!r} and {self.values[version]!r}"
         for acceptor in self.acceptors.values():
             version = acceptor.state.decided_version
             value = acceptor.state.decided_value
             if version and self.values.setdefault(version, value) != value:
-                return f"version {version} is {value!r} and {self.values[version]!r}"
+                return f"version {version} has two values: {value!r} and {self.values[version]!r}"
         return ""
 
-    def mark(self) -> int:
-        """Tells states apart."""
+    def fingerprint(self) -> int:
+        """Return a hash that identifies this state."""
         acceptors = [
             (
                 repr(a.state),
                 a.has_lost_state,
                 a.earlier_leases_end_at,
                 sorted((holder, repr(lease)) for holder, lease in a.leases.items()),
-                disk.kept,
+                disk.saved,
             )
             for a, disk in zip(self.acceptors.values(), self.disks.values(), strict=True)
         ]
-        others = [sorted((k, repr(v)) for k, v in vars(o).items()) for o in self.parts()]
+        others = [sorted((k, repr(v)) for k, v in vars(o).items()) for o in self.proposers_and_learners()]
         requested = sorted(self.requested)
-        left = self.now, self.crashes, self.losses, self.decided
-        return hash(repr((left, sorted(self.in_flight), requested, acceptors, others)))
+        scalars = self.now, self.crashes, self.losses, self.newest_used
+        return hash(repr((scalars, sorted(self.in_flight), requested, acceptors, others)))
 
-    def parts(self) -> list[Any]:
-        """Proposers and learners."""
+    def proposers_and_learners(self) -> list[Any]:
+        """Return all proposers and learners."""
         return [*self.proposers.values(), *self.learners.values()]
 
 
-def search(world: World, most: int) -> tuple[int, str]:
-    """Breadth first, up to so many states; how many there were, and what was wrong."""
+def search(world: World, max_states: int) -> tuple[int, str]:
+    """Search breadth first, up to a number of states; return how many there were and any violation."""
     first = pickle.dumps(world)
-    seen, queue = {world.mark()}, deque([first])
+    visited, queue = {world.fingerprint()}, deque([first])
     count = 0
-    while queue and count < most:
+    while queue and count < max_states:
         packed = queue.popleft()
         count += 1
         for step in list(pickle.loads(packed).steps()):
-            after: World = pickle.loads(packed)
-            step(after)
-            if wrong := after.look():
-                return count, wrong
-            if (mark := after.mark()) not in seen:
-                seen.add(mark)
-                queue.append(pickle.dumps(after))
-    return len(seen), ""
-
-
-def wander(make: Callable[[], World], walks: int, length: int, seed: int = 1) -> tuple[int, str]:
-    """So many random walks: deep orders that breadth first does not come to."""
-    drawn, seen = random.Random(seed), set[int]()
+            successor: World = pickle.loads(packed)
+            step(successor)
+            if violation := successor.find_violation():
+                return count, violation
+            if (fingerprint := successor.fingerprint()) not in visited:
+                visited.add(fingerprint)
+                queue.append(pickle.dumps(successor))
+    return len(visited), ""
+
+
+def random_walks(
+    create_world: Callable[[], World], walks: int, length: int, seed: int = 1
+) -> tuple[int, str]:
+    """Walk at random from the first state; this reaches deeper orders than the breadth-first search.
+
+    Returns how many states there were and any violation.
+    """
+    rng, visited = random.Random(seed), set[int]()
     for _ in range(walks):
-        world = make()
+        world = create_world()
         for _ in range(length):
             steps = list(world.steps())
             if not steps:
                 break
-            drawn.choice(steps)(world)
-            seen.add(world.mark())
-            if wrong := world.look():
-                return len(seen), wrong
-    return len(seen), ""
+            rng.choice(steps)(world)
+            visited.add(world.fingerprint())
+            if violation := world.find_violation():
+                return len(visited), violation
+    return len(visited), ""
 
 
 def main() -> int:
-    """Both ways."""
-    most = int(sys.argv[1]) if len(sys.argv) > 1 else 20_000
-    count, wrong = search(World(), most)
-    print(f"breadth first: {count} states: {wrong or 'nothing wrong'}", flush=True)
+    """Run the breadth-first search and the random walks."""
+    max_states = int(sys.argv[1]) if len(sys.argv) > 1 else 20_000
+    count, violation = search(World(), max_states)
+    print(f"breadth first: {count} states: {violation or 'no violation'}", flush=True)
     for losses in (0, 1):
-        more, also = wander(partial(World, crashes=2, losses=losses), most // 20, 120)
-        print(f"walks, {losses} stores lost: {more} states: {also or 'nothing wrong'}", flush=True)
-        wrong = wrong or also
-    return 1 if wrong else 0
+        walked, walk_violation = random_walks(partial(World, crashes=2, losses=losses), max_states // 20, 120)
+        print(f"walks, {losses} stores lost: {walked} states: {walk_violation or 'no violation'}", flush=True)
+        violation = violation or walk_violation
+    return 1 if violation else 0
 
 
 if __name__ == "__main__":
--- a/scalelb/lab/probe_load.py
+++ b/scalelb/lab/probe_load.py
@@ -1,6 +1,6 @@
-"""What many limiters do together to a backend that fails, and to all of them, in virtual time.
+"""The load that many limiters together put on one failing backend, and on all of them, in virtual time.
 
-`python -m scalelb.lab.probe_load` prints the table of `docs/overload.md`: one demand through 3 to 200
+`python -m scalelb.lab.probe_load` prints the table of `docs/overload.md`: the same load through 3 to 200
 limiters.
 """
 
@@ -11,12 +11,12 @@
 from typing import Any
 
 from scalelb.lab.experiment import Fleet
-from scalelb.lab.flock import Flock
+from scalelb.lab.simulated_cluster import SimulatedCluster
 from scalelb.lab.traffic import Arrival, Clients
 from scalelb.policy.settings import Plan, RequestClass, Settings
 
-PER_S, BACKENDS = 240.0, 24
-SITE = Settings(
+REQUESTS_PER_S, BACKENDS = 240.0, 24
+LIMITER_SETTINGS = Settings(
     limiter_index=0,
     limiter_count=3,
     zone=0,
@@ -31,80 +31,89 @@
     sends_retry_after=True,
     max_retry_after_ms=1000.0,
 )
-START_S, AFTER_S, UNTIL_S, BACK_S = 10.0, 20.0, 60.0, 100.0  # fails; counted from, to; back until
+# A single backend fails from `FAILS_AT_S` to `RECOVERS_AT_S`.  Its attempts are counted from
+# `MEASURED_FROM_S` on, and its recovery is observed until `END_S`.
+FAILS_AT_S, MEASURED_FROM_S, RECOVERS_AT_S, END_S = 10.0, 20.0, 60.0, 100.0
 FLEET = Fleet(servers=BACKENDS, cores=8, room=60, work_ms=(60.0, 40.0))
 
 
-def world(limiters: int, seed: int, seconds: float, linked: bool, per_s: float = PER_S) -> Flock:
-    """Limiters with an even load of single units."""
-    settings = replace(SITE, limiter_count=limiters)
-    found = Flock(settings, seed=seed, linked=linked, fleet=FLEET, clients=Clients(obey=False))
-    drawn, at, arrivals = random.Random(f"trials {seed}"), 0.0, list[Arrival]()
-    while at < 1000.0 * seconds:
-        at += drawn.expovariate(per_s) * 1000.0
-        arrivals.append(Arrival(at, "x", drawn.randrange(10_000), 0, 0, 1.0, drawn.randrange(limiters)))
-    found.load(arrivals)
-    return found
+def create_cluster(
+    limiters: int, seed: int, duration_s: float, linked: bool, requests_per_s: float = REQUESTS_PER_S
+) -> SimulatedCluster:
+    """Create limiters with an even load of requests of one unit."""
+    settings = replace(LIMITER_SETTINGS, limiter_count=limiters)
+    cluster = SimulatedCluster(settings, seed=seed, linked=linked, fleet=FLEET, clients=Clients(obey=False))
+    rng, arrives_at, arrivals = random.Random(f"trials {seed}"), 0.0, list[Arrival]()
+    while arrives_at < 1000.0 * duration_s:
+        arrives_at += rng.expovariate(requests_per_s) * 1000.0
+        arrivals.append(Arrival(arrives_at, "x", rng.randrange(10_000), 0, 0, 1.0, rng.randrange(limiters)))
+    cluster.load(arrivals)
+    return cluster
 
 
-def one_bad(limiters: int, seed: int = 1, linked: bool = False) -> dict[str, float]:
-    """One backend fails everything for 50 s; what it is sent meanwhile and afterwards."""
-    run = world(limiters, seed, BACK_S, linked)
-    server = run.servers["deck-0"]
-    run.run(1000.0 * START_S)
-    before, server.fails = server.taken, True
-    run.run(1000.0 * AFTER_S)
-    first = server.taken
-    run.run(1000.0 * UNTIL_S)
-    tried, server.fails = server.taken - first, False
-    usual, back = before / START_S, UNTIL_S
-    for step in range(int(10 * (BACK_S - UNTIL_S))):
-        count = server.taken
-        run.run(1000.0 * UNTIL_S + 100.0 * (step + 1) + 0.0)
+def fail_one_backend(limiters: int, seed: int = 1, linked: bool = False) -> dict[str, float]:
+    """Let one backend fail all requests for 50 s; measure the attempts it gets meanwhile and afterwards."""
+    cluster = create_cluster(limiters, seed, END_S, linked)
+    server = cluster.servers["deck-0"]
+    cluster.run(1000.0 * FAILS_AT_S)
+    received_before, server.is_failing = server.received, True
+    cluster.run(1000.0 * MEASURED_FROM_S)
+    received_at_start = server.received
+    cluster.run(1000.0 * RECOVERS_AT_S)
+    attempts, server.is_failing = server.received - received_at_start, False
+    usual_per_s, half_load_at_s = received_before / FAILS_AT_S, RECOVERS_AT_S
+    for step in range(int(10 * (END_S - RECOVERS_AT_S))):
+        received = server.received
+        cluster.run(1000.0 * RECOVERS_AT_S + 100.0 * (step + 1) + 0.0)
         if step % 20 == 0:
-            mark = count
-        if server.taken - mark >= usual / 2 * 2.0 and back == UNTIL_S:  # in 2 s, half of its usual share
-            back = run.now / 1000.0
+            window_start = received
+        # The load has returned when the backend gets half of its usual attempts in a window of 2 s.
+        if server.received - window_start >= usual_per_s / 2 * 2.0 and half_load_at_s == RECOVERS_AT_S:
+            half_load_at_s = cluster.now / 1000.0
     return {
-        "a second": round(tried / (UNTIL_S - AFTER_S), 2),
-        "first 10 s": first - before,
-        "half back after": round(back - UNTIL_S, 1) if back > UNTIL_S else -1.0,
-        "failed": sum(row.verdict == "failed" for row in run.rows),
-        "refused": sum(row.verdict == "refused" for row in run.rows),
+        "a second": round(attempts / (RECOVERS_AT_S - MEASURED_FROM_S), 2),
+        "first 10 s": received_at_start - received_before,
+        "half back after": (
+            round(half_load_at_s - RECOVERS_AT_S, 1) if half_load_at_s > RECOVERS_AT_S else -1.0
+        ),
+        "failed": sum(row.verdict == "failed" for row in cluster.rows),
+        "refused": sum(row.verdict == "refused" for row in cluster.rows),
     }
 
 
-def all_bad(limiters: int, seed: int = 1, linked: bool = False, seconds: float = 20.0) -> dict[str, Any]:
-    """Every backend fails for so long; attempts for each request then, and what is answered afterwards."""
-    run = world(limiters, seed, START_S + seconds + 20.0, linked)
-    run.run(1000.0 * START_S)
-    before = sum(server.taken for server in run.servers.values())
-    for server in run.servers.values():
-        server.fails = True
-    run.run(1000.0 * (START_S + seconds))
-    taken = sum(server.taken for server in run.servers.values()) - before
-    for server in run.servers.values():
-        server.fails = False
-    run.run(1000.0 * (START_S + seconds + 22.0))
-    rows = [row for row in run.rows if 1000.0 * START_S <= row.at < 1000.0 * (START_S + seconds)]
-    sent = sum(row.sent >= 0 for row in rows)
-    late = [row for row in run.rows if row.at >= 1000.0 * (START_S + seconds)]
-    good = [row.at / 1000.0 - START_S - seconds for row in late if row.verdict == "served"]
-    bad = [row.at / 1000.0 - START_S - seconds for row in late if row.verdict != "served"]
+def fail_all_backends(
+    limiters: int, seed: int = 1, linked: bool = False, outage_s: float = 20.0
+) -> dict[str, Any]:
+    """Let all backends fail all requests; measure attempts per request, and the answers afterwards."""
+    cluster = create_cluster(limiters, seed, FAILS_AT_S + outage_s + 20.0, linked)
+    cluster.run(1000.0 * FAILS_AT_S)
+    received_before = sum(server.received for server in cluster.servers.values())
+    for server in cluster.servers.values():
+        server.is_failing = True
+    cluster.run(1000.0 * (FAILS_AT_S + outage_s))
+    attempts = sum(server.received for server in cluster.servers.values()) - received_before
+    for server in cluster.servers.values():
+        server.is_failing = False
+    cluster.run(1000.0 * (FAILS_AT_S + outage_s + 22.0))
+    during = [row for row in cluster.rows if 1000.0 * FAILS_AT_S <= row.at < 1000.0 * (FAILS_AT_S + outage_s)]
+    forwarded = sum(row.sent >= 0 for row in during)
+    after = [row for row in cluster.rows if row.at >= 1000.0 * (FAILS_AT_S + outage_s)]
+    served = [row.at / 1000.0 - FAILS_AT_S - outage_s for row in after if row.verdict == "served"]
+    not_served = [row.at / 1000.0 - FAILS_AT_S - outage_s for row in after if row.verdict != "served"]
     return {
-        "attempts a request sent": round(taken / max(1, sent), 3),
-        "attempts a request": round(taken / max(1, len(rows)), 3),
-        "sent of asked": round(sent / max(1, len(rows)), 3),
-        "served afterwards": round(len(good) / max(1, len(late)), 3),
-        "last refused": round(max(bad, default=0.0), 1),
+        "attempts a request sent": round(attempts / max(1, forwarded), 3),
+        "attempts a request": round(attempts / max(1, len(during)), 3),
+        "sent of asked": round(forwarded / max(1, len(during)), 3),
+        "served afterwards": round(len(served) / max(1, len(after)), 3),
+        "last refused": round(max(not_served, default=0.0), 1),
     }
 
 
 def main() -> None:
-    """The table."""
-    for limiters in (3, 12, 48, 200):
+    """Print the table."""
+    for count in (3, 12, 48, 200):
         for seed in (1, 2):
-            print(limiters, seed, one_bad(limiters, seed), all_bad(limiters, seed), flush=True)
+            print(count, seed, fail_one_backend(count, seed), fail_all_backends(count, seed), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -26,7 +26,7 @@
     learner,
     proposer,
 )
-from scalelb.lab.model_check import Disk, World, search, wander
+from scalelb.lab.model_check import Disk, World, random_walks, search
 from scalelb.program.policy_register import PolicyRegister
 
 NAMES = ("a", "b", "c")
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("losses", [0, 1])
 def test_random_walks_find_no_violation(losses: int) -> None:
-    count, violation = wander(lambda: World(crashes=2, losses=losses), 250, 150)
+    count, violation = random_walks(lambda: World(crashes=2, losses=losses), 250, 150)
     assert (violation, count > 10_000) == ("", True)
 
 
@@ -102,7 +102,7 @@
 def test_random_walks_find_each_planted_fault(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     create_world, plant = PLANTED_FAULTS[name]
     plant(monkeypatch)
-    assert wander(create_world, 2500, 160)[1]
+    assert random_walks(create_world, 2500, 160)[1]
 
 
 def deliver_among(world: World, *names: str) -> None:
@@ -124,11 +124,11 @@
     world.to_all("p0", world.proposers["p0"].begin_attempt())
     deliver_among(world, "p0", "a", "b")
     assert world.proposers["p0"].outcome is ChangeOutcome.DECIDED
-    assert world.look() == ""
+    assert world.find_violation() == ""
     world.crash("b", False)
     world.to_all("p1", world.proposers["p1"].begin_attempt())
     deliver_among(world, "p1", "b", "c")
-    assert bool(world.look()) is has_fault
+    assert bool(world.find_violation()) is has_fault
 
 
 class SimulatedFleet:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,9 +14,9 @@
 
 from scalelb.lab.checkers import CHECKERS, check, quotas, use
 from scalelb.lab.experiment import ExperimentError
-from scalelb.lab.flock import Delays
 from scalelb.lab.schedule import Schedule, read_schedule
-from scalelb.lab.virtual import PLAN, Virtual, play
+from scalelb.lab.simulated_cluster import Delays
+from scalelb.lab.virtual import PLAN, VirtualRun, play
 from scalelb.policy.shared_counter import WINDOW_MS
 from scalelb.policy.token_bucket import TokenBucket
 
@@ -135,7 +135,7 @@
     return replace(schedule, steps=tuple(steps))
 
 
-def beyond(run: Virtual, schedule: Schedule) -> tuple[float, float]:
+def beyond(run: VirtualRun, schedule: Schedule) -> tuple[float, float]:
     """The most units that a customer was sent on beyond rate and burst, and how many have a known cause.
 
     - each limiter overdraws a bucket by one request; half of the burst is kept back for that;
@@ -161,7 +161,7 @@
     # began, 18 units beyond a quota of 31 with no fault at all.
     schedule = quiet(read_schedule(FAULTS / "kill.toml"))
     for seed in range(1, 6):
-        found, owed = beyond(Virtual(schedule, seed, 3, clock_ms), schedule)
+        found, owed = beyond(VirtualRun(schedule, seed, 3, clock_ms), schedule)
         assert found <= owed, seed
 
 
@@ -174,7 +174,7 @@
     # beyond a quota of 34 with copies that came 100 ms late and a window that was 5 s old.
     schedule = read_schedule(FAULTS / "kill.toml")
     for seed in range(1, 6):
-        run = Virtual(schedule, seed, 3, clock_ms, Delays(delay_ms, delay_ms + 5.0))
+        run = VirtualRun(schedule, seed, 3, clock_ms, Delays(delay_ms, delay_ms + 5.0))
         found, owed = beyond(run, schedule)
         assert found <= owed, seed
 
@@ -189,13 +189,13 @@
         lambda bucket, at, others, blind: bucket.counter_balance_then(at) - others - blind,
     )
     schedule = quiet(read_schedule(FAULTS / "kill.toml"))
-    found, owed = beyond(Virtual(schedule, 3, 3, 5000.0), schedule)
+    found, owed = beyond(VirtualRun(schedule, 3, 3, 5000.0), schedule)
     assert found > owed + MOST_UNITS
 
 
 def test_a_seed_replays_event_by_event() -> None:
     schedule = read_schedule(FAULTS / "kill.toml")
-    runs = [Virtual(schedule, 5, 3) for _ in range(2)]
+    runs = [VirtualRun(schedule, 5, 3) for _ in range(2)]
     for run in runs:
         run.play()
     told = [[(e["what"], e.get("ident"), e["at"]) for e in run.history] for run in runs]
--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -17,7 +17,7 @@
 from scalelb.program.idempotency_records import MAX_OWN_KEYS, MAX_PEER_KEYS, IdempotencyRecords
 from scalelb.replication import Incarnation
 
-SMALL = Case(requests=1500, per_s=300.0, kills_s=4.0)
+SMALL = Case(requests=1500, per_s=300.0, kills_per_s=4.0)
 
 
 @given(st.text(min_size=1), st.sets(st.integers(0, 9), min_size=1), st.integers(0, 9))
@@ -38,7 +38,7 @@
 
 
 def test_peer_records_prevent_duplicates_while_endpoint_lists_change() -> None:
-    lost_zones = replace(SMALL, requests=4000, lost_zones=True, back_ms=(900.0, 1500.0))
+    lost_zones = replace(SMALL, requests=4000, lost_zones=True, retry_delay_ms=(900.0, 1500.0))
     linked = [Run(replace(lost_zones, seed=seed)).play() for seed in (1, 2)]
     unlinked = [Run(replace(lost_zones, seed=seed, linked=False)).play() for seed in (1, 2)]
     assert sum(run["twice"] for run in linked) == 0 < sum(run["twice"] for run in unlinked)
@@ -67,15 +67,15 @@
     run.run(BEGIN_MS)
     submit(run, 1, "k1")
     run.run(run.now + 20.0)  # the request executes; then its limiter is killed, and its zone is removed
-    (zone,) = run.ran["k1"]
+    (zone,) = run.zones_by_key["k1"]
     run.kill(1, 1e9)
     run.run(run.now + 600.0)
     for limiter in run.limiters:
-        run.tell(limiter, zone, EndpointState.REMOVED)
+        run.update_endpoints(limiter, zone, EndpointState.REMOVED)
     retry = submit(run, 4, "k1")
     run.run(run.now + 1500.0)
     assert retry == ["failed"]
-    assert run.ran["k1"] == {zone}
+    assert run.zones_by_key["k1"] == {zone}
     other_key = submit(run, 4, "k2")  # goes to a remaining zone
     run.run(run.now + 1500.0)
     assert other_key == ["served"]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from scalelb.lab.probe_load import all_bad, one_bad
+from scalelb.lab.probe_load import fail_all_backends, fail_one_backend
 from scalelb.policy import subsetting
 from scalelb.policy.actions import Action, FailRequest, RejectRequest, SendAttempt
 from scalelb.policy.concurrency_limit import MAX_LIMIT, MIN_LIMIT, ConcurrencyLimit
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("limiters", [3, 48, 200])
 def test_a_total_outage_is_not_made_worse_by_repeats(limiters: int) -> None:
     # Guards the fleet: repeats earned by first tries made 1.21 attempts a request at 3, 1.33 at 200 limiters.
-    found = all_bad(limiters, seconds=10.0)
+    found = fail_all_backends(limiters, outage_s=10.0)
     assert found["attempts a request"] <= 1.10
     assert found["served afterwards"] > 0.95
 
@@ -93,7 +93,7 @@
 
 def test_trials_of_a_bad_backend_grow_little_with_the_number_of_limiters() -> None:
     # 0.15 a second at 3 limiters; 1.18 at 200 before each drew among a subset alone.
-    few, many = one_bad(3), one_bad(200)
+    few, many = fail_one_backend(3), fail_one_backend(200)
     assert many["a second"] <= 4 * few["a second"]
     assert many["failed"] + many["refused"] == 0
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -13,8 +13,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from scalelb.lab.flock import Flock
 from scalelb.lab.model import START_MS
+from scalelb.lab.simulated_cluster import SimulatedCluster
 from scalelb.lab.traffic import Arrival, Clients
 from scalelb.policy.settings import Plan
 from scalelb.program.account_replication import decode_account
@@ -376,12 +376,12 @@
 def run_limiters(
     count: int, *, linked: bool = True, seed: int = 1, seconds: float = 60.0, load: float = 10.0,
     kills_per_s: float = 0.0, down_ms: float = 0.0, counter: str = "alive", tenants: int = 1,
-) -> Flock:  # fmt: skip
+) -> SimulatedCluster:  # fmt: skip
     """Runs limiters whose tenants each request `load` times their quota, while limiters are killed."""
     limiter_settings, plan = replace(CLUSTER_SETTINGS, limiter_count=count), PLAN
-    cluster = Flock(limiter_settings, seed=seed, linked=linked, clients=Clients(obey=False))
+    cluster = SimulatedCluster(limiter_settings, seed=seed, linked=linked, clients=Clients(obey=False))
     rng, arrives_at, arrivals = random.Random(seed), 3000.0, list[Arrival]()
-    cluster.counter.silent = counter == "unresponsive"
+    cluster.counter.is_unresponsive = counter == "unresponsive"
     while arrives_at < 3000 + 1000 * seconds:
         arrives_at += rng.expovariate(tenants * load * plan.rate_per_s / 2) * 1000
         tenant, units = rng.randrange(tenants), rng.choice((1.0, 2.0, 3.0))
@@ -395,10 +395,10 @@
     return cluster
 
 
-def forwarded_ratio(cluster: Flock, seconds: float = 60.0) -> float:
+def forwarded_ratio(cluster: SimulatedCluster, seconds: float = 60.0) -> float:
     """Units forwarded, relative to the units that rate and burst allow."""
-    forwarded = cluster.meter.inside + cluster.meter.beyond
-    tenants = len(cluster.meter.stores)
+    forwarded = cluster.meter.units_within_quota + cluster.meter.units_over_quota
+    tenants = len(cluster.meter.balances)
     return forwarded / (tenants * (PLAN.burst + PLAN.rate_per_s * seconds))
 
 
@@ -434,7 +434,7 @@
     assert member.peering.replicator.is_settled  # it has waited long enough for a settled peer
     cluster.heal()
     cluster.run(cluster.now + 3000)
-    assert cluster.same()
+    assert cluster.has_equal_copies()
 
 
 @pytest.mark.parametrize("count", [3, 8, 40])
@@ -445,10 +445,10 @@
         member: Any = cluster.limiters[number]
         member.peering.replicator.write(f"x:deck-{number}", [1.0, True], cluster.now)
     cluster.run(cluster.now + 1900)
-    assert not cluster.same()
+    assert not cluster.has_equal_copies()
     cluster.heal()
     cluster.run(cluster.now + 2000)
-    assert cluster.same()
+    assert cluster.has_equal_copies()
 
 
 def test_traffic_of_a_limiter_grows_with_its_number_of_links() -> None:
@@ -493,7 +493,7 @@
         )
 
 
-def record_failures(cluster: Flock, limiters: tuple[int, ...], endpoint: str = "deck-0") -> None:
+def record_failures(cluster: SimulatedCluster, limiters: tuple[int, ...], endpoint: str = "deck-0") -> None:
     """Makes an endpoint look faulty to some limiters."""
     for number in limiters:
         member: Any = cluster.limiters[number]
@@ -502,7 +502,7 @@
         record.consecutive_successes, record.updated_at = 0, cluster.kernel.now
 
 
-def ejected_by(cluster: Flock, endpoint: str = "deck-0") -> set[str]:
+def ejected_by(cluster: SimulatedCluster, endpoint: str = "deck-0") -> set[str]:
     """The names of the running limiters that have ejected an endpoint."""
     members: list[Any] = [member for member in cluster.limiters if not getattr(member, "dead", True)]
     return {
@@ -619,12 +619,13 @@
     cluster = run_limiters(3, seconds=5.0, counter="unresponsive")
     old: Any = cluster.limiters[1]
     cluster.stall(1, 5000.0)
-    cluster.part(old.name)
-    old.flock.limiters[1] = new = cluster.make(1)  # the platform has started a replacement with the same name
+    cluster.disconnect(old.name)
+    # The platform has started a replacement with the same name.
+    old.cluster.limiters[1] = new = cluster.create_limiter(1)
     cluster.run(cluster.now + 2500)
     assert new.peering.replicator.is_settled
     cluster.kernel.at(cluster.kernel.now + 2600, lambda: cluster.dial(old, cluster.names[0]))
-    cluster.pairs.clear()
+    cluster.links.clear()
     for member in (cluster.limiters[0], cluster.limiters[2]):
         other: Any = member
         other.peering.replicator.links.clear()
