--- a/scalelb/lab/soak_checks.py
+++ b/scalelb/lab/soak_checks.py
@@ -1,18 +1,19 @@
-"""The rules of the soak, checked over its history by code that shares nothing with the limiter.
+"""The rules of the soak test, checked over its history by code that shares nothing with the limiter.
 
-Events beside those of `checkers`:
+Events in addition to those of `checkers`; `life` is the number of an incarnation:
 
-    ask      ident, limiter, life         a command's last byte was written
-    lost     ident, limiter, life         its connection ended without an answer
-    left     ident                        its client ended the connection
+    ask      ident, limiter, life         the last byte of a command was written
+    lost     ident, limiter, life         the connection of a request was closed without an answer
+    left     ident                        the client of a request closed the connection
     signal   limiter, life, name          a signal was sent
-    exit     limiter, life, status        a process ended; status -9: killed
-    ready    limiter, life, took_ms       from its start
-    stopped  limiter, life, open, attempts, gone     a process's own count at its end
-    garbled  bytes                        bytes that are no answer
-    fault    limiter, life, text          a line of the log
-
-`seen` is when the stage saw it, in ms.
+    exit     limiter, life, status        a process ended; status -9: by SIGKILL
+    ready    limiter, life, took_ms       a limiter became ready, `took_ms` after its start
+    stopped  limiter, life, open, attempts, gone     a process's own counts at its end: open requests,
+                                          attempts in flight, requests cancelled by disconnected clients
+    garbled  bytes                        a malformed reply, or a reply without a request
+    fault    limiter, life, text          a fault in the log
+
+`seen` is the time at which the harness observed an event, in ms.
 """
 
 from __future__ import annotations
@@ -23,28 +24,29 @@
 from scalelb.lab.checkers import never_two_out, no_unsafe_repeat, own_value
 
 Event = dict[str, Any]
-LINGER_MS = 700.0  # after SIGTERM, that what comes may be open at the kill
-READ_MS = 50.0  # in which the end of a connection is seen; nobody sends a request again so soon
-READY_MS = 10_000.0  # that a start may take
+SHUTDOWN_GRACE_MS = 700.0  # Requests that arrive within this time after SIGTERM may be open at the kill.
+DISCONNECT_MS = 50.0  # A closed connection is noticed within this time; no client resends so soon.
+MAX_START_MS = 10_000.0
 KILLED = -9
-TERMINATED = -15  # by a signal that came before the program could take it
+TERMINATED = -15  # Ended by SIGTERM before the program had installed its handler.
 
-Life = tuple[str, int]
+IncarnationId = tuple[str, int]
 
 
-class Soak:
-    """One run's history, by what the rules ask for."""
+class SoakHistory:
+    """The history of one run, indexed for the rules."""
 
     def __init__(self, history: list[Event]) -> None:
         self.history = history
         self.answers = Counter(e["ident"] for e in history if e["what"] == "answer")
         self.left = {e["ident"] for e in history if e["what"] == "left"}
-        self.taken = {e["ident"]: e["at"] for e in reversed(history) if e["what"] == "take"}  # first
+        # The time at which a backend got the first attempt of each request.
+        self.taken = {e["ident"]: e["at"] for e in reversed(history) if e["what"] == "take"}
         self.exits = {(e["limiter"], e["life"]): e["status"] for e in history if e["what"] == "exit"}
         self.ended_at = {(e["limiter"], e["life"]): e["seen"] for e in history if e["what"] == "exit"}
         self.ready_at = {(e["limiter"], e["life"]): e["seen"] for e in history if e["what"] == "ready"}
         self.losses = [e for e in history if e["what"] == "lost"]
-        self.signals: dict[Life, list[Event]] = defaultdict(list)
+        self.signals: dict[IncarnationId, list[Event]] = defaultdict(list)
         for event in history:
             if event["what"] == "signal":
                 self.signals[event["limiter"], event["life"]].append(event)
@@ -53,33 +55,41 @@
             if event["what"] == "ask":
                 self.asks[event["ident"]].append(event)
 
-    def first_signal(self, life: Life, name: str) -> float | None:
-        """When a life got this signal first."""
-        return next((e["seen"] for e in self.signals[life] if e["name"] == name), None)
+    def first_signal(self, incarnation: IncarnationId, name: str) -> float | None:
+        """When an incarnation first got this signal, or None."""
+        return next((e["seen"] for e in self.signals[incarnation] if e["name"] == name), None)
+
+    def was_killed(self, incarnation: IncarnationId) -> bool:
+        """Whether SIGKILL ended an incarnation."""
+        return self.exits.get(incarnation) == KILLED
 
-    def was_killed(self, life: Life) -> bool:
-        """Whether SIGKILL ended it."""
-        return self.exits.get(life) == KILLED
+    def possible_incarnations(self, event: Event) -> list[IncarnationId]:
+        """The incarnations that may have accepted the connection of a request.
 
-    def lives_of(self, event: Event) -> list[Life]:
-        """The lives that may have taken a request: its own, and those beside it on a socket of two."""
+        These are the one to which the client connected, and a predecessor or successor that used the same
+        listening socket at the same time.
+        """
         name, number = event["limiter"], event["life"]
-        beside = [(name, number - 1, number), (name, number + 1, number + 1)]
-        lives = [(name, number)]
-        for limiter, other, newer in beside:
+        neighbours = [(name, number - 1, number), (name, number + 1, number + 1)]
+        incarnations = [(name, number)]
+        for limiter, other, newer in neighbours:
             ready_at = self.ready_at.get((limiter, newer))
             ended_at = self.ended_at.get((limiter, newer - 1))
             if ready_at is not None and ended_at is not None and ready_at < ended_at:
-                lives.append((limiter, other))
-        return lives
+                incarnations.append((limiter, other))
+        return incarnations
 
     def is_lost_by_kill(self, event: Event) -> bool:
-        """Whether a connection ended because its limiter was killed."""
-        killed = [self.first_signal(life, "KILL") for life in self.lives_of(event) if self.was_killed(life)]
-        return any(at is not None and event["seen"] >= at for at in killed)
+        """Whether a connection was closed because its limiter was killed."""
+        killed_at = [
+            self.first_signal(incarnation, "KILL")
+            for incarnation in self.possible_incarnations(event)
+            if self.was_killed(incarnation)
+        ]
+        return any(at is not None and event["seen"] >= at for at in killed_at)
 
     def ended_before_kill(self, ask: Event) -> bool:
-        """Whether the connection that a request was sent on had ended before its limiter was killed."""
+        """Whether the connection of a request was closed before its limiter was killed."""
         sent_on = ask["ident"], ask["limiter"], ask["life"]
         return any(
             (lost["ident"], lost["limiter"], lost["life"]) == sent_on and not self.is_lost_by_kill(lost)
@@ -87,96 +97,107 @@
         )
 
     def is_excused(self, ask: Event) -> bool:
-        """Whether one sending of a request may stay without an answer."""
-        killed = [life for life in self.lives_of(ask) if self.was_killed(life)]
+        """Whether a request that was sent once may remain unanswered."""
+        killed = [
+            incarnation for incarnation in self.possible_incarnations(ask) if self.was_killed(incarnation)
+        ]
         if killed and not self.ended_before_kill(ask):
-            told = [self.first_signal(life, "TERM") for life in killed]
-            return any(at is None or ask["seen"] <= at + LINGER_MS for at in told)
-        # The end of the connection crossed a command that was not read: no backend has seen it.  What was
-        # read and not answered is in the limiter's own count, `unanswered_by_itself`.
+            sigterm_at = [self.first_signal(incarnation, "TERM") for incarnation in killed]
+            return any(at is None or ask["seen"] <= at + SHUTDOWN_GRACE_MS for at in sigterm_at)
+        # The connection was closed while the command was on its way: no backend got the request.  Requests
+        # that were read and not answered are in the limiter's own count, which `unanswered_by_itself` checks.
         return ask["ident"] not in self.taken
 
 
-def one_answer(soak: Soak) -> list[str]:
-    """Every request gets one final answer; a kill excuses what came in time."""
+def one_answer(soak: SoakHistory) -> list[str]:
+    """Every request gets one final answer; a kill excuses those that arrived within the grace period."""
     broken = [f"{ident} has {count} answers" for ident, count in soak.answers.items() if count > 1]
     for ident, asks in soak.asks.items():
         if soak.answers[ident] or ident in soak.left or any(map(soak.is_excused, asks)):
             continue
-        places = ", ".join(f"{ask['limiter']} life {ask['life']}" for ask in asks)
-        broken.append(f"{ident} has no answer ({places})")
+        places = ", ".join(f"{ask['limiter']} incarnation {ask['life']}" for ask in asks)
+        broken.append(f"{ident} has no answer (sent to {places})")
     return broken
 
 
-def read_and_lost(soak: Soak) -> list[str]:
-    """No limiter ends a connection under a request that it has forwarded, but by its kill; also where the
-    client's second sending is answered."""
+def read_and_lost(soak: SoakHistory) -> list[str]:
+    """A limiter that is not killed closes no connection whose request it has forwarded.
+
+    This holds even if the request is answered after the client sends it again.
+    """
     broken = []
     for event in soak.history:
         if event["what"] != "lost" or soak.is_lost_by_kill(event):
             continue
         taken_at = soak.taken.get(event["ident"])
-        if taken_at is not None and taken_at <= event["seen"] + READ_MS:
-            broken.append(f"{event['ident']} was forwarded, and its connection ended without an answer")
+        if taken_at is not None and taken_at <= event["seen"] + DISCONNECT_MS:
+            broken.append(f"{event['ident']} was forwarded, and its connection was closed without an answer")
     return broken
 
 
-def unanswered_by_itself(soak: Soak) -> list[str]:
-    """A process that ends by itself owes nothing, has nothing out, and gave up none but whose client left."""
+def unanswered_by_itself(soak: SoakHistory) -> list[str]:
+    """A process that exits by itself has no open requests and no attempts in flight.
+
+    It has cancelled no more requests than its clients left open when they disconnected.
+    """
     left: Counter[str] = Counter()
     for ident in soak.left:
         left.update(ask["limiter"] for ask in soak.asks.get(ident, ()))
-    gone: Counter[str] = Counter()
+    cancelled: Counter[str] = Counter()
     broken = []
     for event in soak.history:
         if event["what"] != "stopped":
             continue
-        life = event["limiter"], event["life"]
+        incarnation = event["limiter"], event["life"]
         if event["open"] or event["attempts"]:
-            broken.append(f"{life}: ended with {event['open']} requests, {event['attempts']} attempts")
-        gone[event["limiter"]] += event["gone"]
+            broken.append(
+                f"{incarnation}: exited with {event['open']} open requests, {event['attempts']} attempts"
+            )
+        cancelled[event["limiter"]] += event["gone"]
     return broken + [
-        f"{limiter}: gave up {count} requests, clients left {left[limiter]}"
-        for limiter, count in gone.items()
+        f"{limiter}: cancelled {count} requests, but clients left only {left[limiter]} open"
+        for limiter, count in cancelled.items()
         if count > left[limiter]
     ]
 
 
-def exits(soak: Soak) -> list[str]:
-    """A process ends with status 0 after SIGTERM, by SIGKILL, or by a signal before it could take it."""
+def exits(soak: SoakHistory) -> list[str]:
+    """A process ends with status 0 after SIGTERM, by SIGKILL, or by a SIGTERM before it could handle one."""
     broken = []
-    for life, status in soak.exits.items():
-        is_told = soak.first_signal(life, "TERM") is not None
-        has_told = any(e["what"] == "stopped" and (e["limiter"], e["life"]) == life for e in soak.history)
-        if status == 0 and not has_told:
-            broken.append(f"{life}: ended without its last line")
-        is_struck = soak.first_signal(life, "KILL") is not None
-        if not ((status == 0 and is_told) or (status == KILLED and is_struck) or status == TERMINATED):
-            broken.append(f"{life}: ended with status {status}")
+    for incarnation, status in soak.exits.items():
+        got_sigterm = soak.first_signal(incarnation, "TERM") is not None
+        has_last_line = any(
+            e["what"] == "stopped" and (e["limiter"], e["life"]) == incarnation for e in soak.history
+        )
+        if status == 0 and not has_last_line:
+            broken.append(f"{incarnation}: exited without its last log line")
+        got_sigkill = soak.first_signal(incarnation, "KILL") is not None
+        if not ((status == 0 and got_sigterm) or (status == KILLED and got_sigkill) or status == TERMINATED):
+            broken.append(f"{incarnation}: exited with status {status}")
         if status == TERMINATED and any(
-            e["what"] == "ready" and (e["limiter"], e["life"]) == life for e in soak.history
+            e["what"] == "ready" and (e["limiter"], e["life"]) == incarnation for e in soak.history
         ):
-            broken.append(f"{life}: SIGTERM was not taken though it was ready")
+            broken.append(f"{incarnation}: did not handle SIGTERM although it was ready")
     return broken
 
 
-def starts(soak: Soak) -> list[str]:
-    """A limiter is ready soon after its start."""
+def starts(soak: SoakHistory) -> list[str]:
+    """A limiter is ready within `MAX_START_MS`."""
     return [
-        f"{e['limiter']} life {e['life']}: ready after {e['took_ms']:.0f} ms"
+        f"{e['limiter']} incarnation {e['life']}: ready only after {e['took_ms']:.0f} ms"
         for e in soak.history
-        if e["what"] == "ready" and e["took_ms"] > READY_MS
+        if e["what"] == "ready" and e["took_ms"] > MAX_START_MS
     ]
 
 
-def logs(soak: Soak) -> list[str]:
-    """No fault in a log, and no bytes that are no answer."""
+def logs(soak: SoakHistory) -> list[str]:
+    """The logs contain no faults, and clients receive no malformed or unexpected replies."""
     return [f"{e['what']}: {str(e)[:2000]}" for e in soak.history if e["what"] in ("fault", "garbled")]
 
 
 def check(history: list[Event]) -> dict[str, list[str]]:
-    """Every rule, and how it was broken."""
-    soak = Soak(history)
+    """Return the violations of every rule."""
+    soak = SoakHistory(history)
     return {
         "one final answer each": one_answer(soak),
         "no connection ended under a request": read_and_lost(soak),
--- a/scalelb/lab/soak_clients.py
+++ b/scalelb/lab/soak_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak: they keep using their connections until the limiter's end."""
+"""Clients of the soak test: they keep using their connections until the limiter closes them."""
 
 from __future__ import annotations
 
@@ -12,129 +12,130 @@
 from scalelb.transport.stream import Dial, Stream
 
 PIPELINED_REQUESTS = 4
-THINK_S = (0.02, 0.2)  # between an answer and the next request
-PIECE_S = (0.001, 0.03)  # between two writes of one command
-STAY_S = (0.0, 0.3)  # that a leaving client waits for its answer
+THINK_TIME_S = (0.02, 0.2)  # Between an answer and the next request.
+PIECE_INTERVAL_S = (0.001, 0.03)  # Between two writes of one command.
+LEAVE_AFTER_S = (0.0, 0.3)  # A leaving client waits for its answer for this time.
 RECONNECT_S = 0.1
 CONNECT_TIMEOUT_S = 2.0
 
 
-class Recorder(Protocol):
-    """The stage, as its clients see it."""
+class Harness(Protocol):
+    """The part of the test harness that the clients use."""
 
     def port_of(self, limiter: str) -> int | None:
-        """Where a limiter listens, while it runs."""
+        """Return the port of a limiter, or None while it does not run."""
 
-    def life_of(self, limiter: str) -> int:
-        """Which of its lives runs."""
+    def incarnation_of(self, limiter: str) -> int:
+        """Return the number of the current incarnation of a limiter."""
 
     def new_request(self, limiter: str) -> tuple[str, bytes]:
-        """The next request: its id and its command."""
+        """Return the id and the command of a new request."""
 
     def note(self, what: str, **fields: Any) -> None:
-        """Keep an event."""
+        """Add an event to the history."""
 
 
 class SoakConnection(Stream):
     """One connection of a client."""
 
-    def __init__(self, client: SoakClient, life: int) -> None:
+    def __init__(self, client: SoakClient, incarnation: int) -> None:
         self.client = client
-        self.life = life
-        self.waiting: deque[str] = deque()  # ids, in the order of their commands
+        self.incarnation = incarnation
+        self.unanswered: deque[str] = deque()  # request ids, in the order of their commands
         self.buffer = b""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """The connection is up."""
+        """Notify the client that the connection is open."""
         super().connectionMade()
-        self.client.connected(self)
+        self.client.on_connected(self)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Answers, whole or in part."""
+        """Process all complete replies and keep the rest."""
         self.buffer += data
-        at = 0
+        start = 0
         try:
-            while at < len(self.buffer) and (reply := resp.read_reply(self.buffer, at)) is not None:
-                at = reply.end
-                self._answered(reply)
+            while start < len(self.buffer) and (reply := resp.read_reply(self.buffer, start)) is not None:
+                start = reply.end
+                self._on_reply(reply)
         except MalformedError as error:
-            self.client.stage.note("garbled", bytes=str(error))
+            self.client.harness.note("garbled", bytes=str(error))
             self.abort()
-        self.buffer = self.buffer[at:]
+        self.buffer = self.buffer[start:]
 
-    def _answered(self, reply: resp.Reply) -> None:
-        if not self.waiting:
-            self.client.stage.note("garbled", bytes=f"an answer to nothing: {reply.line!r}")
+    def _on_reply(self, reply: resp.Reply) -> None:
+        if not self.unanswered:
+            self.client.harness.note("garbled", bytes=f"reply without a request: {reply.line!r}")
             return
-        ident = self.waiting.popleft()
+        ident = self.unanswered.popleft()
         verdict, made_for = "failed", ""
         if reply.value is not None:
             verdict = "served"
             made_for = bytes(reply.value).split(b"\r\n")[1].rpartition(b" ")[2].decode("ascii", "replace")
         elif reply.line.startswith(b"-BUSY"):
             verdict = "refused"
-        self.client.answered(self, ident, verdict, made_for)
+        self.client.on_answer(self, ident, verdict, made_for)
 
     def lost(self) -> None:
-        """The connection has ended."""
-        self.client.disconnected(self)
+        """Notify the client that the connection is closed."""
+        self.client.on_disconnected(self)
 
 
 class SoakClient:
-    """One client of one limiter; it connects anew whenever its connection ends."""
+    """One client of one limiter; it reconnects whenever its connection is closed."""
 
     def __init__(
-        self, reactor: Any, stage: Recorder, limiter: str, kind: ClientKind, rng: random.Random
+        self, reactor: Any, harness: Harness, limiter: str, kind: ClientKind, rng: random.Random
     ) -> None:
         self.reactor = reactor
-        self.stage = stage
+        self.harness = harness
         self.limiter = limiter
         self.kind = kind
         self.random = rng
         self.connection: SoakConnection | None = None
         self.has_left = False
         self.is_stopped = False
-        self.resend: deque[tuple[str, bytes]] = deque()  # whose connection ended without an answer
+        # Requests to send again, as their connections were closed without an answer.
+        self.resends: deque[tuple[str, bytes]] = deque()
         self.commands: dict[str, bytes] = {}
         self.resent: set[str] = set()
 
     def connect(self) -> None:
-        """Dial the limiter, now or once it runs again."""
-        port = self.stage.port_of(self.limiter)
+        """Connect to the limiter, or try again later if it is not running."""
+        port = self.harness.port_of(self.limiter)
         if self.is_stopped:
             return
         if port is None:
             self._later(RECONNECT_S, self.connect)
             return
-        connection = SoakConnection(self, self.stage.life_of(self.limiter))
+        connection = SoakConnection(self, self.harness.incarnation_of(self.limiter))
         dial = Dial(connection, lambda: self._later(RECONNECT_S, self.connect))
         self.reactor.connectTCP("127.0.0.1", port, dial, timeout=CONNECT_TIMEOUT_S)
 
     def stop(self) -> None:
-        """Send nothing more; what is owed is still taken."""
+        """Send no more requests; answers to earlier ones are still processed."""
         self.is_stopped = True
 
-    def connected(self, connection: SoakConnection) -> None:
-        """The connection is up: send as many requests as this kind of client keeps outstanding."""
+    def on_connected(self, connection: SoakConnection) -> None:
+        """Send as many requests as this kind of client keeps outstanding."""
         self.connection = connection
         self.has_left = False
         count = PIPELINED_REQUESTS if self.kind is ClientKind.PIPELINED else 1
         for _ in range(count):
-            self._ask(connection)
+            self._send_request(connection)
 
-    def _ask(self, connection: SoakConnection) -> None:
+    def _send_request(self, connection: SoakConnection) -> None:
         if connection.gone or self.is_stopped or connection is not self.connection:
             return
-        ident, command = self.resend.popleft() if self.resend else self.stage.new_request(self.limiter)
+        ident, command = self.resends.popleft() if self.resends else self.harness.new_request(self.limiter)
         self.commands[ident] = command
-        connection.waiting.append(ident)
+        connection.unanswered.append(ident)
         if self.kind is ClientKind.PIECES:
             self._send_piece(connection, ident, command)
         else:
             connection.send(command)
-            self._sent(connection, ident)
+            self._record_request(connection, ident)
         if self.kind is ClientKind.LEAVING:
-            self._later(self.random.uniform(*STAY_S), lambda: self._leave(connection))
+            self._later(self.random.uniform(*LEAVE_AFTER_S), lambda: self._leave(connection))
 
     def _send_piece(self, connection: SoakConnection, ident: str, rest: bytes) -> None:
         if connection.gone:
@@ -142,45 +143,45 @@
         size = self.random.randint(1, max(1, len(rest) // 2))
         connection.send(rest[:size])
         if len(rest) == size:
-            self._sent(connection, ident)
+            self._record_request(connection, ident)
         else:
-            wait_s = self.random.uniform(*PIECE_S)
+            wait_s = self.random.uniform(*PIECE_INTERVAL_S)
             self._later(wait_s, lambda: self._send_piece(connection, ident, rest[size:]))
 
-    def _sent(self, connection: SoakConnection, ident: str) -> None:
-        self.stage.note("ask", ident=ident, limiter=self.limiter, life=connection.life)
+    def _record_request(self, connection: SoakConnection, ident: str) -> None:
+        self.harness.note("ask", ident=ident, limiter=self.limiter, life=connection.incarnation)
 
     def _leave(self, connection: SoakConnection) -> None:
-        if connection.gone or not connection.waiting:
+        if connection.gone or not connection.unanswered:
             return
         self.has_left = True
-        for ident in connection.waiting:
-            self.stage.note("left", ident=ident)
+        for ident in connection.unanswered:
+            self.harness.note("left", ident=ident)
         connection.abort()
 
-    def answered(self, connection: SoakConnection, ident: str, verdict: str, made_for: str) -> None:
-        """One answer: the next request follows after a while."""
+    def on_answer(self, connection: SoakConnection, ident: str, verdict: str, made_for: str) -> None:
+        """Record an answer and schedule the next request."""
         self.commands.pop(ident, None)
-        self.stage.note("answer", ident=ident, verdict=verdict, made_for=made_for)
-        # Who pipelines leaves its connection no moment without an open request.
-        wait_s = 0.0 if self.kind is ClientKind.PIPELINED else self.random.uniform(*THINK_S)
-        self._later(wait_s, lambda: self._ask(connection))
-
-    def disconnected(self, connection: SoakConnection) -> None:
-        """The connection has ended: what was unanswered is sent once more, as the protocol has it."""
-        for ident in connection.waiting:
+        self.harness.note("answer", ident=ident, verdict=verdict, made_for=made_for)
+        # A pipelined client does not pause, so that its connection always has an open request.
+        wait_s = 0.0 if self.kind is ClientKind.PIPELINED else self.random.uniform(*THINK_TIME_S)
+        self._later(wait_s, lambda: self._send_request(connection))
+
+    def on_disconnected(self, connection: SoakConnection) -> None:
+        """Queue the unanswered requests for one resend, as the protocol requires, and reconnect."""
+        for ident in connection.unanswered:
             if not self.has_left:
-                self.stage.note("lost", ident=ident, limiter=self.limiter, life=connection.life)
-                self._keep_for_resending(ident)
+                self.harness.note("lost", ident=ident, limiter=self.limiter, life=connection.incarnation)
+                self._queue_for_resend(ident)
         if connection is self.connection:
             self.connection = None
             self._later(RECONNECT_S, self.connect)
 
-    def _keep_for_resending(self, ident: str) -> None:
+    def _queue_for_resend(self, ident: str) -> None:
         if ident in self.resent:
             return
         self.resent.add(ident)
-        self.resend.append((ident, self.commands[ident]))
+        self.resends.append((ident, self.commands[ident]))
 
-    def _later(self, seconds: float, call: Callable[[], None]) -> None:
-        self.reactor.callLater(seconds, call)
+    def _later(self, delay_s: float, call: Callable[[], None]) -> None:
+        self.reactor.callLater(delay_s, call)
--- a/scalelb/lab/soak_plan.py
+++ b/scalelb/lab/soak_plan.py
@@ -1,4 +1,4 @@
-"""What one seed of the soak draws: limiters, clients, troubles, and how each limiter's life ends."""
+"""What one seed of the soak test draws: limiters, clients, faults, and how each limiter is ended."""
 
 from __future__ import annotations
 
@@ -6,36 +6,36 @@
 from dataclasses import dataclass
 from enum import Enum
 
-DECKS = 4  # backends
-LINGER_S = 0.7  # after SIGTERM, that what comes may be open at the kill
-LONGEST_DEADLINE_S = 3.0  # longer ones count as this much
-SHORT_DEADLINES_MS = (2000, 1500)  # by class
-USUAL_SOCKETS = 1024
-FEW_SOCKETS = 256  # with a crowd
+BACKENDS = 4
+SHUTDOWN_GRACE_S = 0.7  # Requests that arrive within this time after SIGTERM may be open at the kill.
+MAX_DEADLINE_S = 3.0  # Longer deadlines do not postpone the kill any further.
+SHORT_DEADLINES_MS = (2000, 1500)  # By class.
+DEFAULT_SOCKETS = 1024
+FEW_SOCKETS = 256  # In runs with a connection burst.
 
 
 class ClientKind(Enum):
-    """How a client sends on its connection."""
+    """How a client sends requests on its connection."""
 
-    SINGLE = "single"  # the next request once the one before is answered
-    PIPELINED = "pipelined"  # several outstanding at any time
-    PIECES = "pieces"  # each command in several writes
-    LEAVING = "leaving"  # ends its connection under a request, again and again
+    SINGLE = "single"  # sends the next request after the answer to the previous one
+    PIPELINED = "pipelined"  # keeps several requests outstanding
+    PIECES = "pieces"  # sends each command in several writes
+    LEAVING = "leaving"  # repeatedly closes its connection while a request is open
 
 
 class Trouble(Enum):
-    """What befalls the stand-ins."""
+    """A fault of the stand-ins or a burst of clients; the names and values are written to reports."""
 
-    HANG = "hang"  # half of the backends, or all, answer nothing any more
-    RESET = "reset"  # backends end all their connections
-    COUNTER = "counter"  # the counter is silent for a while
-    DISCOVERY = "discovery"  # the director is silent for a while
-    CROWD = "crowd"  # some hundred clients come at once
+    HANG = "hang"  # half of the backends, or all, stop answering
+    RESET = "reset"  # the backends close all their connections
+    COUNTER = "counter"  # the shared counter does not answer for a while
+    DISCOVERY = "discovery"  # discovery does not answer for a while
+    CROWD = "crowd"  # some hundred clients connect within a fraction of a second
 
 
 @dataclass(frozen=True)
 class Signal:
-    """One signal, so long after the ending began."""
+    """One signal, sent `after_s` seconds after the ending began."""
 
     after_s: float
     name: str  # as in `signal`, without SIG
@@ -43,7 +43,10 @@
 
 @dataclass(frozen=True)
 class Ending:
-    """The signals that a limiter's life ends with.  SIGKILL follows the first SIGTERM, as early as it may."""
+    """The signals that end an incarnation of a limiter.
+
+    SIGKILL follows the first SIGTERM after `SoakPlan.kill_after_s`, the earliest time that is allowed.
+    """
 
     name: str
     signals: tuple[Signal, ...]
@@ -51,29 +54,29 @@
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """One seed."""
+    """All that one seed draws; it is written to the report."""
 
     seed: int
     limiters: int
-    deadlines_ms: tuple[int, ...]  # by class; empty: the usual ones
+    deadlines_ms: tuple[int, ...]  # by class; empty: the defaults
     sockets: int
     clients: tuple[ClientKind, ...]  # of each limiter
-    troubles: tuple[tuple[float, Trouble], ...]  # when (s from the start of the load), which
-    end_at_s: tuple[float, ...]  # by limiter
-    endings: tuple[Ending, ...]  # by limiter: of its first life
-    stops_while_starting: bool  # the first limiter's next life gets SIGTERM before it is ready
-    hung_backends: int  # of `DECKS`, by `Trouble.HANG`
-    has_successor: bool  # the first limiter is relieved by another on the same socket
+    troubles: tuple[tuple[float, Trouble], ...]  # faults, each with its time (s from the start of the load)
+    end_at_s: tuple[float, ...]  # by limiter, from the start of the load
+    endings: tuple[Ending, ...]  # by limiter, of its first incarnation
+    stops_while_starting: bool  # whether the first limiter's next incarnation gets SIGTERM before it is ready
+    hung_backends: int  # of `BACKENDS`, by `Trouble.HANG`
+    has_successor: bool  # whether a successor takes over the listening socket of the first limiter
 
     @property
     def linked(self) -> bool:
-        """Whether the limiters have links."""
+        """Whether the limiters have links to each other."""
         return self.limiters > 1
 
-    def kill_after_s(self, usual_longest_ms: float) -> float:
-        """How long after SIGTERM the kill comes."""
-        longest_ms = max(self.deadlines_ms, default=usual_longest_ms)
-        return min(longest_ms / 1000.0, LONGEST_DEADLINE_S) + LINGER_S
+    def kill_after_s(self, default_max_deadline_ms: float) -> float:
+        """The time from SIGTERM to SIGKILL."""
+        max_deadline_ms = max(self.deadlines_ms, default=default_max_deadline_ms)
+        return min(max_deadline_ms / 1000.0, MAX_DEADLINE_S) + SHUTDOWN_GRACE_S
 
 
 ENDINGS = {
@@ -84,11 +87,11 @@
     "series": ("HUP", "HUP", "HUP", "TERM", "HUP", "TERM"),
     "killed outright": ("KILL",),
 }
-LAST = Ending("term", (Signal(0.0, "TERM"),))  # of the last life of each limiter
+LAST_ENDING = Ending("term", (Signal(0.0, "TERM"),))  # Ends the last incarnation of each limiter.
 
 
 def draw_ending(rng: random.Random, names: tuple[str, ...] = tuple(ENDINGS)) -> Ending:
-    """One ending with drawn pauses between its signals."""
+    """Draw an ending, and the pauses between its signals."""
     name = rng.choice(names)
     after_s = 0.0
     signals = []
@@ -99,11 +102,11 @@
 
 
 def draw_plan(seed: int) -> SoakPlan:
-    """Everything that a seed decides."""
+    """Draw the plan of a seed."""
     rng = random.Random(f"soak {seed}")
     limiters = rng.choice((1, 2, 2, 3))
-    troubles = [(rng.uniform(0.2, 2.5), trouble) for trouble in Trouble if rng.random() < 0.35]
-    is_crowded = any(trouble is Trouble.CROWD for _, trouble in troubles)
+    faults = [(rng.uniform(0.2, 2.5), fault) for fault in Trouble if rng.random() < 0.35]
+    has_burst = any(fault is Trouble.CROWD for _, fault in faults)
     has_successor = rng.random() < 0.25
     names = tuple(name for name in ENDINGS if not has_successor or name != "killed outright")
     clients = rng.choices((ClientKind.SINGLE, ClientKind.PIPELINED, ClientKind.PIECES), k=rng.randint(6, 14))
@@ -113,12 +116,12 @@
         seed=seed,
         limiters=limiters,
         deadlines_ms=SHORT_DEADLINES_MS if rng.random() < 0.4 else (),
-        sockets=FEW_SOCKETS if is_crowded else USUAL_SOCKETS,
+        sockets=FEW_SOCKETS if has_burst else DEFAULT_SOCKETS,
         clients=tuple(clients),
-        troubles=tuple(sorted(troubles, key=lambda item: item[0])),
+        troubles=tuple(sorted(faults, key=lambda item: item[0])),
         end_at_s=tuple(rng.uniform(1.0, 2.5) for _ in range(limiters)),
         endings=tuple(draw_ending(rng, names) for _ in range(limiters)),
         stops_while_starting=not has_successor and rng.random() < 0.3,
         has_successor=has_successor,
-        hung_backends=rng.choice((DECKS // 2, DECKS)),
+        hung_backends=rng.choice((BACKENDS // 2, BACKENDS)),
     )
--- a/tests/broken_program.py
+++ b/tests/broken_program.py
@@ -1,4 +1,4 @@
-"""The program with one break planted: `python -m broken_program NAME`.  The soak has to find each."""
+"""The program with one planted fault: `python -m broken_program NAME`.  The soak test must detect each."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from scalelb.transport.session import ClientSession
 
 
-def drop_answers_at_the_end() -> None:
-    """No answer leaves once the limiter closes its sessions."""
-    usual = ClientSession.on_answer
+def drop_answers_during_shutdown() -> None:
+    """Drop all answers once the limiter closes its client connections."""
+    original = ClientSession.on_answer
 
     def on_answer(self: ClientSession, request: Any, *answer: Any) -> None:
         if not self.door.closing:
-            usual(self, request, *answer)
+            original(self, request, *answer)
             return
         self.door.forget(request)
         self.order.remove(request.payload.answer)
@@ -25,20 +25,20 @@
     ClientSession.on_answer = on_answer  # type: ignore[method-assign, assignment]
 
 
-def end_at_a_second_sigterm() -> None:
-    """The second SIGTERM ends the process, whatever is open."""
-    usual = program.Program.stop
+def exit_at_second_sigterm() -> None:
+    """Exit at the second SIGTERM, although requests are open."""
+    original = program.Program.stop
 
     def stop(self: program.Program, signalled_at: float | None = None) -> None:
         if self.status is Status.DRAINING:
             self.reactor.stop()
-        usual(self, signalled_at)
+        original(self, signalled_at)
 
     program.Program.stop = stop  # type: ignore[method-assign]
 
 
-def end_without_lingering() -> None:
-    """The process ends as soon as it is told to."""
+def exit_without_grace_period() -> None:
+    """Exit at SIGTERM at once."""
     program.LINGER_S = 0.0
 
     def finish(self: program.Program) -> None:
@@ -48,20 +48,20 @@
     program.Program.finish = finish  # type: ignore[method-assign]
 
 
-def read_on_until_the_kill() -> None:
-    """Sessions are never closed, and what is open has its own deadline, however late it came."""
+def read_requests_until_the_kill() -> None:
+    """Close no client connection, and let late requests keep their own deadlines beyond the kill."""
     program.Program.kill_after_s = lambda self: 60.0  # type: ignore[method-assign]
     ClientSession.idle = lambda self: False  # type: ignore[method-assign]
 
 
-BREAKS: dict[str, Callable[[], None]] = {
-    "drop-answers-at-the-end": drop_answers_at_the_end,
-    "end-at-a-second-sigterm": end_at_a_second_sigterm,
-    "end-without-lingering": end_without_lingering,
-    "read-on-until-the-kill": read_on_until_the_kill,
+PLANTED_FAULTS: dict[str, Callable[[], None]] = {
+    "drop-answers-at-the-end": drop_answers_during_shutdown,
+    "end-at-a-second-sigterm": exit_at_second_sigterm,
+    "end-without-lingering": exit_without_grace_period,
+    "read-on-until-the-kill": read_requests_until_the_kill,
 }
 
 
 if __name__ == "__main__":
-    BREAKS[sys.argv[1]]()
+    PLANTED_FAULTS[sys.argv[1]]()
     sys.exit(program.main())
