--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,9 +14,9 @@
 
 from scalelb.lab.checkers import CHECKERS, check, quota_use, quotas
 from scalelb.lab.experiment import ExperimentError
-from scalelb.lab.flock import Delays
 from scalelb.lab.schedule import Schedule, read_schedule
-from scalelb.lab.virtual import PLAN, Virtual, play
+from scalelb.lab.simulated_cluster import Delays
+from scalelb.lab.virtual import PLAN, VirtualRun, play
 from scalelb.policy.shared_counter import WINDOW_MS
 from scalelb.policy.token_bucket import TokenBucket
 
@@ -137,7 +137,7 @@
     return replace(schedule, steps=tuple(steps))
 
 
-def overuse(run: Virtual, schedule: Schedule) -> tuple[float, float]:
+def overuse(run: VirtualRun, schedule: Schedule) -> tuple[float, float]:
     """The most units that a tenant used beyond rate and burst, and the number of units with a known cause.
 
     - Each limiter overdraws a token bucket by one request; half of the burst is reserved for that.
@@ -163,7 +163,7 @@
     # any fault, a tenant used 18 units beyond a quota of 31.
     schedule = without_faults(read_schedule(FAULTS / "kill.toml"))
     for seed in range(1, 6):
-        beyond_quota, explained = overuse(Virtual(schedule, seed, 3, clock_ms), schedule)
+        beyond_quota, explained = overuse(VirtualRun(schedule, seed, 3, clock_ms), schedule)
         assert beyond_quota <= explained, seed
 
 
@@ -176,7 +176,7 @@
     # replicas 100 ms late and a window that was 5 s old, a tenant used 28 units beyond a quota of 34.
     schedule = read_schedule(FAULTS / "kill.toml")
     for seed in range(1, 6):
-        run = Virtual(schedule, seed, 3, clock_ms, Delays(delay_ms, delay_ms + 5.0))
+        run = VirtualRun(schedule, seed, 3, clock_ms, Delays(delay_ms, delay_ms + 5.0))
         beyond_quota, explained = overuse(run, schedule)
         assert beyond_quota <= explained, seed
 
@@ -194,13 +194,13 @@
         ),
     )
     schedule = without_faults(read_schedule(FAULTS / "kill.toml"))
-    beyond_quota, explained = overuse(Virtual(schedule, 3, 3, 5000.0), schedule)
+    beyond_quota, explained = overuse(VirtualRun(schedule, 3, 3, 5000.0), schedule)
     assert beyond_quota > explained + MAX_UNITS
 
 
 def test_same_seed_gives_the_same_history() -> None:
     schedule = read_schedule(FAULTS / "kill.toml")
-    runs = [Virtual(schedule, 5, 3) for _ in range(2)]
+    runs = [VirtualRun(schedule, 5, 3) for _ in range(2)]
     for run in runs:
         run.play()
     histories = [[(e["what"], e.get("ident"), e["at"]) for e in run.history] for run in runs]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from scalelb.lab.probe_load import all_bad, one_bad
+from scalelb.lab.probe_load import fail_all_backends, fail_one_backend
 from scalelb.policy import subsetting
 from scalelb.policy.actions import Action, FailRequest, RejectRequest, SendAttempt
 from scalelb.policy.concurrency_limit import MAX_LIMIT, MIN_LIMIT, ConcurrencyLimit
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("limiters", [3, 48, 200])
 def test_retries_add_little_load_in_a_total_outage(limiters: int) -> None:
     # When first attempts earned retries, each request made 1.21 attempts with 3 limiters and 1.33 with 200.
-    result = all_bad(limiters, seconds=10.0)
+    result = fail_all_backends(limiters, outage_s=10.0)
     assert result["attempts a request"] <= 1.10
     assert result["served afterwards"] > 0.95
 
@@ -100,7 +100,7 @@
 
 def test_probes_of_a_failing_backend_grow_little_with_the_number_of_limiters() -> None:
     # 0.15 attempts per second with 3 limiters; with 200 limiters 1.18 before each limiter used a subset.
-    few, many = one_bad(3), one_bad(200)
+    few, many = fail_one_backend(3), fail_one_backend(200)
     assert many["a second"] <= 4 * few["a second"]
     assert many["failed"] + many["refused"] == 0
 
