--- a/scalelb/admission_queue/admission_queue.py
+++ b/scalelb/admission_queue/admission_queue.py
@@ -142,7 +142,7 @@
 
         The request counts as in flight for the usual latency, as its end is not reported."""
         if request_id in self.forwarded.by_id:
-            self.forwarded.expect_end(now + usual_latency_ms)
+            self.forwarded.count_in_flight_until(now + usual_latency_ms)
 
     def attempt_ended(
         self,
@@ -223,7 +223,7 @@
         return overdue
 
     def next_wakeup_at(self) -> float:
-        """Return when `remove_overdue` and `release` are due if no event comes before; may be infinite."""
+        """Return when `remove_overdue` and `release` are due if no event arrives before; may be infinite."""
         next_overdue_at = self.queued.next_overdue_at()
         if self.forwarded.expected_ends and self.fair_queue:
             return min(next_overdue_at, self.forwarded.expected_ends[0])
--- a/scalelb/admission_queue/fair_queue.py
+++ b/scalelb/admission_queue/fair_queue.py
@@ -68,7 +68,7 @@
         self.finish_tag_heap: list[tuple[float, str]] = []
         self.virtual_time = 0.0
         self.queued_count = 0
-        self.sequence = 0
+        self.last_sequence_number = 0  # of the entries and of the heap items
         self.queued_units = 0.0
         self.total_weight = 0.0  # sum over the backlogged flows
 
@@ -100,16 +100,16 @@
             flow = self.flows[flow_name] = Flow(flow_name, weight, start_tag)
             self.total_weight += weight
             self._schedule(flow)
-        self.sequence += 1
-        entry = QueueEntry(flow, units, rank, self.sequence, item)
+        self.last_sequence_number += 1
+        entry = QueueEntry(flow, units, rank, self.last_sequence_number, item)
         heappush(flow.entries_by_rank, entry)
         flow.entries_by_arrival.append(entry)
         flow.queued_count += 1
         flow.queued_units += units
         self.queued_count += 1
         self.queued_units += units
-        self.sequence += 1
-        heappush(self.flows_by_backlog, (-flow.queued_units / flow.weight, self.sequence, flow))
+        self.last_sequence_number += 1
+        heappush(self.flows_by_backlog, (-flow.queued_units / flow.weight, self.last_sequence_number, flow))
         if len(self.flows_by_backlog) > 2 * self.queued_count + MAX_STALE_ENTRIES:
             self.flows_by_backlog = [
                 (-f.queued_units / f.weight, n, f) for n, f in enumerate(self.flows.values())
@@ -179,8 +179,8 @@
                 return flow
             heappop(self.flows_by_backlog)
             if is_backlogged:  # its backlog is shorter than in the heap entry: add a correct entry
-                self.sequence += 1
-                heappush(self.flows_by_backlog, (backlog, self.sequence, flow))
+                self.last_sequence_number += 1
+                heappush(self.flows_by_backlog, (backlog, self.last_sequence_number, flow))
         return None
 
     def newest_entry(self, flow: Flow[T]) -> QueueEntry[T]:
@@ -205,8 +205,8 @@
 
     def _schedule(self, flow: Flow[T]) -> None:
         """Add a flow to the heap by its start tag; its older entries in the heap become stale."""
-        self.sequence += 1
-        flow.schedule_sequence = self.sequence
+        self.last_sequence_number += 1
+        flow.schedule_sequence = self.last_sequence_number
         heappush(self.flows_by_start_tag, (flow.start_tag, flow.schedule_sequence, flow))
         if len(self.flows_by_start_tag) > 2 * len(self.flows) + MAX_STALE_ENTRIES:
             self.flows_by_start_tag = [
--- a/scalelb/admission_queue/forwarded_requests.py
+++ b/scalelb/admission_queue/forwarded_requests.py
@@ -37,7 +37,7 @@
         else:
             self.unsent_by_flow.pop(flow, None)
 
-    def expect_end(self, ends_at: float) -> None:
+    def count_in_flight_until(self, ends_at: float) -> None:
         """Count a request as in flight until this time, as its end is not reported."""
         self.in_flight += 1
         heappush(self.expected_ends, ends_at)
--- a/scalelb/admission_queue/gradient_limit.py
+++ b/scalelb/admission_queue/gradient_limit.py
@@ -40,8 +40,8 @@
         self.min_limit = min_limit
         self.max_limit = max_limit
         self.tolerance_ratio = tolerance_ratio
-        # By endpoint: the unloaded latency in milliseconds and the number of responses behind it.  The
-        # endpoint updated last comes last.
+        # By endpoint: the unloaded latency in milliseconds and the number of responses it is based
+        # on.  The endpoint that was updated last is at the end.
         self.baselines: dict[str, tuple[float, int]] = {}
         self.fleet_baseline: tuple[float, int] = (0.0, 0)
         self.latency_ratio = 1.0  # mean latency over the baseline in the last window
--- a/scalelb/admission_queue/rate_meter.py
+++ b/scalelb/admission_queue/rate_meter.py
@@ -5,7 +5,7 @@
 from math import exp
 
 MIN_AGE_RATIO = 0.05  # smallest age, as a part of the memory: a new meter would divide by almost 0
-MAX_STEP_RATIO = 0.1  # longest time that one value stands for, as a part of the memory
+MAX_STEP_RATIO = 0.1  # longest time that one value represents, as a part of the memory
 
 
 class RateMeter:
@@ -39,7 +39,7 @@
 
 
 class DecayingMean:
-    """A mean over about the last `memory_ms`, in which each value is weighted by the time it stands for."""
+    """A mean over about the last `memory_ms`, in which each value is weighted by the time it represents."""
 
     __slots__ = ("covered_ms", "memory_ms", "updated_at", "value")
 
@@ -47,10 +47,10 @@
         self.memory_ms = memory_ms
         self.value = 0.0
         self.updated_at = 0.0
-        self.covered_ms = 0.0  # time that the values so far stand for, up to the memory
+        self.covered_ms = 0.0  # time that the values so far represent, up to the memory
 
     def add(self, now: float, value: float) -> None:
-        """Add a value, which stands for the time since the previous one."""
+        """Add a value, which represents the time since the previous one."""
         if self.value:
             elapsed_ms = min(max(0.0, now - self.updated_at), MAX_STEP_RATIO * self.memory_ms)
         else:
--- a/scalelb/admission_queue/retry_after_reservations.py
+++ b/scalelb/admission_queue/retry_after_reservations.py
@@ -22,7 +22,7 @@
 class Reservation:
     """Units that a tenant may redeem at a certain time.
 
-    A reservation without units stands for a rejection with the longest Retry-After allowed, which is earlier
+    A reservation without units represents a rejection with the longest Retry-After allowed, which is earlier
     than the units will be available.  A retry at that time gets no units, and must not redeem the reservation
     of another request.
     """
--- a/scalelb/admission_queue/throughput_estimate.py
+++ b/scalelb/admission_queue/throughput_estimate.py
@@ -16,7 +16,8 @@
 
     def __init__(self) -> None:
         self.mean_latency_ms = 0.0
-        self.flow_rates: dict[str, RateMeter] = {}  # units forwarded; the flow forwarded last comes last
+        # Units forwarded, by flow.  The flow whose request was forwarded last is at the end.
+        self.flow_rates: dict[str, RateMeter] = {}
         self.total_rate: RateMeter | None = None
         self.mean_units = DecayingMean(RATE_MEMORY_MS)  # units of a request
         self.measured_capacity = DecayingMean(RATE_MEMORY_MS)  # units per second
--- a/scalelb/consensus/acceptor.py
+++ b/scalelb/consensus/acceptor.py
@@ -80,7 +80,7 @@
     store: StateStore
     times: LeaseTimes
     started_at: float
-    is_new_register: bool = False  # at first use, when an empty store does not mean lost state
+    is_new_register: bool = False  # at the first use of the register: an empty store is no lost state
     state: AcceptorState = field(default_factory=AcceptorState)
     leases: dict[str, GrantedLease] = field(default_factory=dict)  # by the holder's key
     reported_states: dict[str, AcceptorState] = field(default_factory=dict)  # by acceptor, during recovery
--- a/scalelb/consensus/messages.py
+++ b/scalelb/consensus/messages.py
@@ -197,7 +197,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRequest:
-    """Asks another acceptor for its state, after the own store was lost."""
+    """Asks another acceptor for its state; sent by an acceptor that has lost its own stored state."""
 
     def to_wire(self) -> WireMessage:
         """Encodes the message for the wire."""
--- a/scalelb/core/endpoint_overrides.py
+++ b/scalelb/core/endpoint_overrides.py
@@ -101,7 +101,7 @@
         return changed
 
     def effective_entries(self, endpoints: Iterable[str]) -> tuple[Endpoint, ...]:
-        """Return the entries of those of these endpoints that are listed, with the overrides applied."""
+        """Return the entries of the given endpoints, with overrides applied; skip endpoints not listed."""
         return tuple(self.apply(self.listed[name]) for name in endpoints if name in self.listed)
 
     def _evict(self) -> bool:
--- a/scalelb/core/lifecycle.py
+++ b/scalelb/core/lifecycle.py
@@ -149,8 +149,10 @@
             self._wake_soon()
 
     def may_begin(self, request: OpenRequest) -> bool:
-        """Return whether the attempt in flight may still begin.  Call this just before its first byte is
-        written: the attempt may have waited for a connection for a long time since the decision."""
+        """Return whether the attempt that was assigned to a connection may still be written.
+
+        Call this just before its first byte is written: the attempt may have waited for a long time for its
+        connection since the limiter chose the endpoint."""
         if not request.in_flight or request.is_finished:
             return False
         return self.clock() < min(request.expires_at, request.begin_before)
@@ -459,7 +461,7 @@
         """Mark a request as answered or cancelled.  It stays in the table while an attempt is in flight."""
         request.is_finished = True
         if self.queue_adapter is not None:
-            self.queue_adapter.finished(request.request_id)
+            self.queue_adapter.request_finished(request.request_id)
         if not request.in_flight:
             self.open_requests.pop(request.request_id, None)
 
--- a/scalelb/core/ports.py
+++ b/scalelb/core/ports.py
@@ -16,7 +16,7 @@
     """The upstream side of the core: carries out its actions and reports their results back to it."""
 
     def send_attempt(self, request: OpenRequest, endpoint: str, timeout_ms: float) -> None:
-        """Start an attempt; call `Core.attempt_ended` when it ends, unless `abandon_attempt` comes first."""
+        """Start an attempt; call `Core.attempt_ended` when it ends, unless `abandon_attempt` was called."""
 
     def abandon_attempt(self, request: OpenRequest) -> None:
         """Abandon the attempt in flight."""
@@ -31,7 +31,7 @@
         """Process the endpoint list (`is_complete`), or only the entries that changed."""
 
     def wake_at(self, due_at: float) -> None:
-        """Call `Core.turn` at this time (ms); if it has passed, as soon as all pending input is collected."""
+        """Call `Core.turn` at this time (ms); if it has passed, after the events that are already waiting."""
 
 
 class Replicas(Protocol):
--- a/scalelb/core/queue_adapter.py
+++ b/scalelb/core/queue_adapter.py
@@ -46,14 +46,14 @@
         settings: Settings,
         limiter: Limiter,
         open_requests: RequestTable,
-        lifecycle: Lifecycle,
+        core: Lifecycle,
     ) -> None:
         max_retry_after_ms = settings.max_retry_after_ms if settings.sends_retry_after else 1.0
         self.queue = AdmissionQueue(queue_settings, max_retry_after_ms)
         self.settings = settings
         self.limiter = limiter
         self.open_requests = open_requests
-        self.lifecycle = lifecycle
+        self.core = core
         self.check_at = inf  # the time for which a check is scheduled
 
     def process(self, events: list[Event], now: float) -> float | None:
@@ -62,12 +62,12 @@
         Ended attempts free capacity, so other events come first, then queued requests, then new ones.
         Returns when to check the queue next; None if no new check has to be scheduled."""
         arrivals = [event for event in events if isinstance(event, RequestArrived)]
-        self.lifecycle.decide([event for event in events if not isinstance(event, RequestArrived)], now)
+        self.core.decide([event for event in events if not isinstance(event, RequestArrived)], now)
         self._run_step(lambda: self._reject_overdue(now))
         self._run_step(lambda: self._release(now))
         for event in arrivals:
             if not self._run_step(lambda event=event: self._enqueue(event, now)):  # type: ignore[misc]
-                self.lifecycle.fail_after_fault(event.request_id)
+                self.core.fail_after_fault(event.request_id)
         self._run_step(lambda: self._release(now))
         check_at = self.queue.next_wakeup_at()
         if check_at == inf or now < self.check_at <= check_at:
@@ -80,13 +80,13 @@
         try:
             step()
         except Exception as error:
-            self.lifecycle.contain(error)
+            self.core.contain(error)
             return False
         return True
 
     def _reject_overdue(self, now: float) -> None:
         for queued, retry_after_ms in self.queue.remove_overdue(now):
-            self.lifecycle.reject(queued.request.request_id, retry_after_ms)
+            self.core.reject(queued.request.request_id, retry_after_ms)
 
     def check_came_due(self) -> None:
         """Note that the scheduled check is due."""
@@ -101,7 +101,7 @@
                 event: RequestArrived = queued.payload
                 expires_in_ms = event.expires_in_ms - queued_ms
                 events.append(replace(event, queued_ms=queued_ms, expires_in_ms=expires_in_ms))
-            self.lifecycle.decide(events, now)
+            self.core.decide(events, now)
 
     def _enqueue(self, event: RequestArrived, now: float) -> None:
         """Forward, queue or reject a new request; it may displace a queued one."""
@@ -113,11 +113,11 @@
         request.relative_cost = self.limiter.estimates.relative_size(event.units)
         decision, retry_after_ms, displaced = self.queue.request_arrived(now, admission_request, quota, event)
         if displaced is not None:
-            self.lifecycle.reject(displaced.request.request_id, retry_after_ms)
+            self.core.reject(displaced.request.request_id, retry_after_ms)
         if decision is QueueDecision.FORWARD:
-            self.lifecycle.decide([event], now)
+            self.core.decide([event], now)
         elif decision is QueueDecision.REJECT:
-            self.lifecycle.reject(event.request_id, retry_after_ms)
+            self.core.reject(event.request_id, retry_after_ms)
 
     def _admission_request(self, event: RequestArrived, request: OpenRequest, now: float) -> AdmissionRequest:
         request_class = self.settings.request_classes[event.class_index]
@@ -179,6 +179,6 @@
             now, request.endpoint, elapsed_ms, request.relative_cost, request.endpoint_load, is_ok
         )
 
-    def finished(self, request_id: int) -> None:
+    def request_finished(self, request_id: int) -> None:
         """Record that a request was answered or cancelled."""
         self.queue.request_finished(request_id)
--- a/scalelb/lab/model.py
+++ b/scalelb/lab/model.py
@@ -293,7 +293,7 @@
         jitter_ms = float(self.clients_rng.uniform(0.0, self.clients.jitter_ms))
         due = row.ended + row.retry_after_ms + jitter_ms
         retry = replace(row, limiter=limiter, number=row.number + 1, due=due, at=-1.0, sent=-1.0, ended=-1.0)
-        # `told_beyond` keeps its value: a Retry-After time at the maximum makes no reservation.
+        # `told_beyond` is not reset: a Retry-After time at the maximum makes no reservation.
         retry.verdict, retry.retry_after_ms = "", 0.0
         self.kernel.at(START_MS + due, self.submit, retry)
 
--- a/scalelb/lab/relay.py
+++ b/scalelb/lab/relay.py
@@ -40,7 +40,7 @@
         self.is_cut = False  # stays so: without the dropped message, later ones could not be interpreted
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send the messages that came before this end was connected."""
+        """Send the messages that arrived before this end was connected."""
         super().connectionMade()
         if self.other is not None:
             for data in self.other.unsent:
--- a/scalelb/lab/rows.py
+++ b/scalelb/lab/rows.py
@@ -32,7 +32,7 @@
     due: float  # when it should be sent; latencies are measured from here, even if the load is late
     at: float = -1.0  # when it was sent
     sent: float = -1.0  # when a limiter sent its first attempt; -1: never, or not visible from outside
-    ended: float = -1.0  # when the final answer came; -1: none
+    ended: float = -1.0  # when the final answer arrived; -1: none
     verdict: str = ""  # served, refused, failed; empty: no answer
     retry_after_ms: float = 0.0
     told_beyond: bool = False  # whether the Retry-After time is the maximum, so that the true one is longer
--- a/scalelb/lab/snapshot_transfer.py
+++ b/scalelb/lab/snapshot_transfer.py
@@ -64,7 +64,7 @@
     def start(self) -> None:
         """Settle the peer alone, write the predecessor's log and start the stand-ins."""
         self.replicator.tick(self.now() + 1.0, lambda name: True)
-        log = self.replicator.replica.log_of(Incarnation("n0", 1, 5))
+        log = self.replicator.replica.find_or_create_log(Incarnation("n0", 1, 5))
         assert self.replicator.is_settled
         assert log is not None
         now = round(self.reactor.seconds() * 1000.0)
--- a/scalelb/lab/soak_checks.py
+++ b/scalelb/lab/soak_checks.py
@@ -140,9 +140,9 @@
 
     It has cancelled no more requests than its clients left open when they disconnected.
     """
-    left: Counter[str] = Counter()
+    left_open: Counter[str] = Counter()
     for ident in soak.left:
-        left.update(ask["limiter"] for ask in soak.asks.get(ident, ()))
+        left_open.update(ask["limiter"] for ask in soak.asks.get(ident, ()))
     cancelled: Counter[str] = Counter()
     broken = []
     for event in soak.history:
@@ -155,9 +155,9 @@
             )
         cancelled[event["limiter"]] += event["gone"]
     return broken + [
-        f"{limiter}: cancelled {count} requests, but clients left only {left[limiter]} open"
+        f"{limiter}: cancelled {count} requests, but clients left only {left_open[limiter]} open"
         for limiter, count in cancelled.items()
-        if count > left[limiter]
+        if count > left_open[limiter]
     ]
 
 
--- a/scalelb/lab/standins.py
+++ b/scalelb/lab/standins.py
@@ -175,10 +175,10 @@
         return job
 
     def _count_concurrent(self, earlier: Job) -> None:
-        """Count a violation if the earlier attempt of a request was still in flight when another came.
+        """Count a violation if the earlier attempt of a request was still in flight when another arrived.
 
         An attempt whose connection was closed is not in flight; the end of that connection may be read a
-        moment after the next attempt has come on another."""
+        moment after the next attempt has arrived on another."""
         self.counts["twice"] += not (earlier.session.is_closed or earlier.reply)
 
     def _begin(self, job: Job) -> None:
@@ -252,7 +252,7 @@
 
     def __init__(self, on_request: Callable[[HttpSession, str, str], None]) -> None:
         self.on_request = on_request
-        self.reader = UrlReader(lambda method, url, keep: on_request(self, method, url))
+        self.reader = UrlReader(lambda method, url, keep_alive: on_request(self, method, url))
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
         """Process the requests of a limiter."""
--- a/scalelb/lab/virtual.py
+++ b/scalelb/lab/virtual.py
@@ -122,7 +122,7 @@
         group_size = limiters // schedule.limiters
         self.index_of = {name: n * group_size for n, name in enumerate(schedule.names)}
         group_names = [schedule.names[min(n // group_size, schedule.limiters - 1)] for n in range(limiters)]
-        # Each limiter of the schedule stands for a group of simulated ones.
+        # Each limiter of the schedule represents a group of simulated ones.
         self.group_of = {f"limiter-{n:03}": group for n, group in enumerate(group_names)}
         linked = schedule.linked
         super().__init__(
@@ -237,7 +237,7 @@
                     self.link_delays[receiver, sender] = Delays(*step.delay_ms)
 
     def group(self, name: str) -> set[str]:
-        """Return the limiters that a name of the schedule stands for; an empty name or "all" means all."""
+        """Return the limiters that a name of the schedule denotes; an empty name or "all" means all."""
         if name in ("", "all"):
             return set(self.names)
         return {member for member, group in self.group_of.items() if group == name}
--- a/scalelb/middleware/asgi.py
+++ b/scalelb/middleware/asgi.py
@@ -79,7 +79,7 @@
         if decision is None:
             return
         if decision.verdict is Verdict.ADMITTED:
-            await self.app(scope, _receive_after(early_messages, receive), send)
+            await self.app(scope, _replay_then_receive(early_messages, receive), send)
         elif decision.verdict is Verdict.REJECTED:
             wait = decision.retry_after_ms
             extra = {"retry-after": headers.retry_after(wait), "x-retry-after-ms": str(max(0, round(wait)))}
@@ -118,7 +118,7 @@
         await asyncio.wait({decision_task, disconnect_task})
 
 
-def _receive_after(early_messages: list[Message], receive: Receive) -> Receive:
+def _replay_then_receive(early_messages: list[Message], receive: Receive) -> Receive:
     async def receive_next() -> Message:
         return early_messages.pop(0) if early_messages else await receive()
 
--- a/scalelb/middleware/host.py
+++ b/scalelb/middleware/host.py
@@ -76,7 +76,7 @@
         self.core.counter_replied(counter_key, outcome, total, self.clock() - started_at)
 
     def wake_at(self, due_at: float) -> None:
-        """Have the core take its turn at this time (ms), or as soon as possible if it is 0."""
+        """Schedule a call of `Core.turn` at `due_at` (ms); 0 means as soon as possible."""
         loop = asyncio.get_running_loop()
         if self.wakeup_timer is not None:
             self.wakeup_timer.cancel()
--- a/scalelb/policy/counter_lease.py
+++ b/scalelb/policy/counter_lease.py
@@ -167,8 +167,8 @@
 
     def _update_balance(self, bucket: TokenBucket, now: float, total: float) -> None:
         """Update the counter balance from the total, less the units that this call took."""
-        # A total that grew by less than this call's amount comes from a counter that has lost updates: it
-        # does not show the others' usage.
+        # If a total grew by less than this call's amount, the counter has lost updates, and the total does
+        # not show the others' usage.
         used_by_others = max(0.0, total - bucket.counter_total - bucket.call_amount)
         # Units credited while the counter was unavailable are charged to what the rate added in that time.
         # If they were taken from a bucket that is full again, a tenant within its quota would be rejected.
--- a/scalelb/policy/handover.py
+++ b/scalelb/policy/handover.py
@@ -2,7 +2,7 @@
 
 After the export the predecessor accepts no new requests. For each tenant it keeps the units that its queue
 needs and hands over the rest, so that each granted unit is spent by only one of the two incarnations. It also
-hands over its endpoint statistics and the whole slow-start budget.
+hands over its endpoint statistics and the entire slow-start budget.
 
 A handover is validated like untrusted input: each number must be within its range, and malformed entries are
 skipped. Its keys are a stored format, which other versions read and write; this module maps them to the names
--- a/scalelb/policy/queue_times.py
+++ b/scalelb/policy/queue_times.py
@@ -74,7 +74,7 @@
     def _max_units_ahead(self, request: Request, now: float) -> float:
         """Return how many units may be used ahead of a request that can still be sent in time.
 
-        For a bucket that limiters lease from, this is the refill at its whole rate during the longest wait,
+        For a bucket that limiters lease from, this is the refill at its full rate during the longest wait,
         even while the counter is unavailable. For a bucket kept on the counter, it is what the last answer of
         the counter leaves, or this limiter's share of the rate after a long outage of the counter.
         """
--- a/scalelb/policy/retry_age.py
+++ b/scalelb/policy/retry_age.py
@@ -1,9 +1,9 @@
 """Estimates how long ago a client first sent a request that it now retries.
 
 A client has the deadline of the request class for all its attempts together, and a shorter timeout for each
-attempt. A first attempt therefore arrives with the whole timeout left, a retry with the timeout or the rest
+attempt. A first attempt therefore arrives with the full timeout left, a retry with the timeout or the rest
 of the deadline, whichever is shorter. If less than the timeout is left, the request's age is the deadline
-minus the time left. If the whole timeout is left, the age is between 0 and the deadline minus the timeout;
+minus the time left. If the full timeout is left, the age is between 0 and the deadline minus the timeout;
 the estimate is the middle of this range.
 """
 
@@ -13,7 +13,7 @@
 from scalelb.policy.settings import RequestClass
 
 TOLERANCE_MS = 5.0  # variation of the time left of first attempts, due to network latency
-UNKNOWN_AGE_RATIO = 0.5  # estimate for a retry with its whole timeout left, as a ratio of the maximum age
+UNKNOWN_AGE_RATIO = 0.5  # estimate for a retry with its full timeout left, as a ratio of the maximum age
 
 
 class RetryAgeEstimator:
--- a/scalelb/policy/shared_counter.py
+++ b/scalelb/policy/shared_counter.py
@@ -3,7 +3,7 @@
 A tenant's requests may come through so many limiters that each limiter receives less than one request of a
 burst. Then units leased by one limiter are lost to the others, and no limiter can derive the balance from its
 own calls: between two of them the other limiters have taken units and the rate has refilled the bucket. The
-balance is therefore derived from a number of the counter. Each key of the counter stands for one tenant and
+balance is therefore derived from a number of the counter. Each key of the counter belongs to one tenant and
 one time window. Its total is the number of units taken since the window started, and `burst + rate x time -
 total` is the balance, which is the same at every limiter. When the bucket has overflowed, the limiter that
 detects it adds the overflow to the total.
--- a/scalelb/policy/tenant.py
+++ b/scalelb/policy/tenant.py
@@ -36,7 +36,7 @@
         """Return a tenant that is new to this limiter; `mean_units`: mean of a request over all tenants.
 
         Its share of the ceiling has been refilling only since the limiter started. Otherwise each restart
-        would grant the whole ceiling again.
+        would grant the full ceiling again.
         """
         plan = settings.plans[event.plan_index]
         sharing_limiters = max(1, event.sharing_limiters)
--- a/scalelb/policy/token_bucket.py
+++ b/scalelb/policy/token_bucket.py
@@ -153,7 +153,7 @@
         evenly over the time. The rest counts as taken just now, from a bucket that was full if it may have
         overflowed: a tenant that becomes active again sends requests to all its limiters at once. The units
         taken just now never make the balance negative by themselves, because a full bucket grants no more
-        than it contains. Without this rule each limiter would grant a whole burst.
+        than it contains. Without this rule each limiter would grant a full burst.
         """
         units_here = max(self_credited, self.units_since_reply)
         spread = min(used_by_others, units_here * (self.sharing_limiters - 1))
--- a/scalelb/program/__main__.py
+++ b/scalelb/program/__main__.py
@@ -409,7 +409,7 @@
     def stop(self, signalled_at: float | None = None) -> None:
         """Handle SIGTERM: accept requests for a moment longer, finish those accepted, end.
 
-        `signalled_at` is the time of the signal (ms of the loop's clock); None stands for now. Clients keep
+        `signalled_at` is the time of the signal (ms of the loop's clock); None means now. Clients keep
         sending on open connections until the kill, and late requests must not be in flight then: every
         request is answered before it.
         """
--- a/scalelb/program/config_reader.py
+++ b/scalelb/program/config_reader.py
@@ -88,7 +88,7 @@
         return number
 
     def integer(self, key: str, minimum: int = 0, default: int | None = None, maximum: float = inf) -> int:
-        """Return a whole number."""
+        """Return an integer."""
         value = self.number(key, minimum, default, maximum=maximum)
         if value != int(value):
             raise ConfigError(f"{self.at(key)}: must be a whole number, not {value!r}")
@@ -199,10 +199,8 @@
     """Read a TOML file. Raises `ConfigError` with the reason if that fails."""
     try:
         return tomllib.loads(_read_file(path).decode())
-    except (
-        ValueError,
-        RecursionError,
-    ) as error:  # Also an integer of too many digits, or nesting that is too deep.
+    # Also raised for an integer of too many digits, or for nesting that is too deep.
+    except (ValueError, RecursionError) as error:
         raise ConfigError(f"not TOML: {error}") from None
 
 
--- a/scalelb/program/endpoint_reports.py
+++ b/scalelb/program/endpoint_reports.py
@@ -60,7 +60,7 @@
         self.recovered_at: dict[str, float] = {}  # endpoints that this limiter reports as recovered
         self.recovery_applied_at: dict[str, float] = {}  # endpoints that a peer has reported as recovered
         self.removed_at: dict[str, float] = {}  # endpoints that this limiter reports as removed
-        self.last_listed: set[str] = set()  # endpoints that were listed at the last review
+        self.last_listed: set[str] = set()  # endpoints that were listed when `publish` last ran
         self.held_back_as_removed: set[str] = set()  # listed endpoints that only peers report as removed
 
     # Own reports
--- a/scalelb/program/idempotency_records.py
+++ b/scalelb/program/idempotency_records.py
@@ -2,7 +2,7 @@
 
     k:TENANT KEY  [zone, cell, sent_at, ends_at]
 
-An entry stands for an attempt of a class whose duplicates are dropped only within one zone or cell. A limiter
+An entry represents an attempt of a class whose duplicates are dropped only within one zone or cell. A limiter
 that receives a request with this key forwards it to that zone or cell, or not at all. Of two limiters'
 entries for one key the older one applies. A forged entry can only fail requests whose key the forger knows.
 
--- a/scalelb/program/loop.py
+++ b/scalelb/program/loop.py
@@ -97,9 +97,8 @@
         class_index = self.class_indexes[held_request.call.class_name]
 
         def write_request() -> bytes | None:
-            if (
-                not session.is_client_connected()
-            ):  # A paused session is not read: only this check notices that it has ended.
+            # A paused session is not read: only this check notices that it has ended.
+            if not session.is_client_connected():
                 session.abort()
                 self.core.cancel(request)
             if request.attempt_number != attempt_number or not self.core.may_begin(request):
@@ -156,8 +155,9 @@
         self.pool.retain_backends(listed - removed)
 
     def wake_at(self, due_at: float) -> None:
-        """Schedule a turn of the core at this time; 0 is at once."""
-        if not due_at:  # A timer for a later time stays: it is often still needed after the turn.
+        """Schedule a call of `Core.turn` at `due_at` (ms); 0 means as soon as possible."""
+        # A timer for a later time stays: it is often still needed after the turn.
+        if not due_at:
             self.reactor.callLater(0, self.core.turn)
             return
         if self.wake_timer is not None and self.wake_timer.active():
--- a/scalelb/protocol/http.py
+++ b/scalelb/protocol/http.py
@@ -17,12 +17,12 @@
 
 
 class Response:
-    """One complete response; `keep` says whether its connection stays open."""
+    """One complete response; `keep_alive` says whether its connection stays open."""
 
-    __slots__ = ("body", "keep", "status")
+    __slots__ = ("body", "keep_alive", "status")
 
-    def __init__(self, status: int, body: bytes, keep: bool) -> None:
-        self.status, self.body, self.keep = status, body, keep
+    def __init__(self, status: int, body: bytes, keep_alive: bool) -> None:
+        self.status, self.body, self.keep_alive = status, body, keep_alive
 
 
 class ResponseReader:
--- a/scalelb/protocol/resp.py
+++ b/scalelb/protocol/resp.py
@@ -15,8 +15,8 @@
 
 HEX16 = re.compile(rb"[0-9a-fA-F]{16}")
 INTEGER = re.compile(rb"[0-9]{1,9}")
-REPORT_ITEM = re.compile(rb"([A-Za-z_]{1,32})=([0-9]{1,12}(?:\.[0-9]{1,18})?(?:[eE][-+]?[0-9]{1,2})?)")
-MAX_REPORT_VALUE = 1e9
+LOAD_REPORT_ITEM = re.compile(rb"([A-Za-z_]{1,32})=([0-9]{1,12}(?:\.[0-9]{1,18})?(?:[eE][-+]?[0-9]{1,2})?)")
+MAX_LOAD_REPORT_VALUE = 1e9
 USAGE_NAME = re.compile(rb"(?:^|,)(?:used|cost)=")
 MAX_USAGE_BYTES = 256
 PLAIN_DECIMAL = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
@@ -27,7 +27,7 @@
 STREAMED_REPLY_HEAD = re.compile(rb"\*3\r\n\$([0-9]{1,9})\r\n")  # start of a reply, up to its value
 MAX_PARTS = 16  # parts of a command, elements of a nested array
 MAX_COMMAND_BYTES = MAX_BUFFERED_VALUE_BYTES + 4096
-MAX_REPLY_BYTES = MAX_BUFFERED_VALUE_BYTES + 16 * 1024  # without a streamed value
+MAX_REPLY_BYTES = MAX_BUFFERED_VALUE_BYTES + 16 * 1024  # of a reply; a streamed value does not count
 MAX_LENGTH_HEADER_BYTES = 16  # type byte, digits and line end of a length
 MAX_NESTING_DEPTH = 2
 REPLY_ELEMENTS = 3  # value, usage figures, load report
@@ -294,31 +294,34 @@
     whose value is only the line end of the streamed one.
     """
 
-    __slots__ = ("behind", "buffer", "extra", "left")
+    __slots__ = ("buffer", "has_extra_bytes", "reads_streamed_end", "streamed_bytes_left")
 
     def __init__(self) -> None:
         self.buffer = Buffer()
-        self.extra = False  # whether more than the outstanding reply has arrived
-        self.left = 0  # bytes of the streamed value that have not arrived yet
-        self.behind = (
-            False  # whether a value is streamed whose line end and further elements are not read yet
-        )
+        self.has_extra_bytes = False  # whether bytes after the outstanding reply have arrived
+        self.streamed_bytes_left = 0  # bytes of the streamed value that have not arrived yet
+        # True from the start of a streamed value until the end of its reply has been read.
+        self.reads_streamed_end = False
 
     def begin_streaming(self) -> bytes | None:
         """Return the received bytes of a long value, its length included; None if no such value has begun."""
         received = b"".join(self.buffer.pieces)
-        if self.behind or (match := _match_streamed_reply(received)) is None:
+        if self.reads_streamed_end or (match := _match_streamed_reply(received)) is None:
             return None
         value_end = match.end() + int(match[1])
-        self.buffer, self.left, self.behind = Buffer(), max(0, value_end - len(received)), True
+        self.buffer, self.streamed_bytes_left, self.reads_streamed_end = (
+            Buffer(),
+            max(0, value_end - len(received)),
+            True,
+        )
         self.buffer.put_back(received, min(value_end, len(received)), 0)
         return received[match.start(1) - 1 : value_end]
 
     def split_streamed(self, data: bytes) -> tuple[memoryview, bytes]:
         """Return the bytes of `data` that belong to the streamed value, and those after it."""
-        piece = memoryview(data)[: self.left]
-        rest = data[self.left :]
-        self.left -= len(piece)
+        piece = memoryview(data)[: self.streamed_bytes_left]
+        rest = data[self.streamed_bytes_left :]
+        self.streamed_bytes_left -= len(piece)
         return piece, rest
 
     def read(self, data: bytes) -> Reply | None:
@@ -328,15 +331,17 @@
         buffer = self.buffer.append(data)
         if not buffer:
             return None
-        reply = read_streamed_reply_end(buffer) if self.behind else read_reply(buffer, 0)
+        reply = read_streamed_reply_end(buffer) if self.reads_streamed_end else read_reply(buffer, 0)
         if reply is not None:
-            self.behind = False
+            self.reads_streamed_end = False
         else:
-            if len(buffer) > MAX_REPLY_BYTES and (self.behind or _match_streamed_reply(buffer) is None):
+            if len(buffer) > MAX_REPLY_BYTES and (
+                self.reads_streamed_end or _match_streamed_reply(buffer) is None
+            ):
                 raise MalformedError("the reply is too long")
             self.buffer.put_back(buffer, 0, 0)
             return None
-        self.extra = reply.end < len(buffer)
+        self.has_extra_bytes = reply.end < len(buffer)
         self.buffer.put_back(buffer, len(buffer), 0)
         return reply
 
@@ -493,8 +498,8 @@
     A report with a fault in any item counts as empty, so that the earlier load stays valid."""
     report = {}
     for item in text.split(b",") if len(text) <= MAX_LINE_BYTES else [text]:
-        match = REPORT_ITEM.fullmatch(item)
-        if match is None or not (value := float(match[2])) <= MAX_REPORT_VALUE:
+        match = LOAD_REPORT_ITEM.fullmatch(item)
+        if match is None or not (value := float(match[2])) <= MAX_LOAD_REPORT_VALUE:
             return {}
         report[match[1].decode("ascii")] = value
     return report
--- a/scalelb/replication/replicated_log.py
+++ b/scalelb/replication/replicated_log.py
@@ -64,8 +64,8 @@
     entries: dict[str, Entry] = field(default_factory=dict)
     # The versions of all writes in ascending order, and the keys of the same writes. Readers skip writes that
     # were overwritten.
-    write_versions: list[int] = field(default_factory=list)
-    write_keys: list[str] = field(default_factory=list)
+    written_versions: list[int] = field(default_factory=list)
+    written_keys: list[str] = field(default_factory=list)
     version: int = 0
     floor: int = 0
     tombstoned_at: dict[str, float] = field(default_factory=dict)  # time of each tombstone, oldest first
@@ -84,9 +84,9 @@
 
     def _set(self, key: str, entry: Entry, now: float) -> None:
         self.entries[key] = entry
-        self.write_versions.append(entry.version)
-        self.write_keys.append(key)
-        if len(self.write_versions) > 2 * len(self.entries) + COMPACTION_SLACK:
+        self.written_versions.append(entry.version)
+        self.written_keys.append(key)
+        if len(self.written_versions) > 2 * len(self.entries) + COMPACTION_SLACK:
             self._compact_write_order()
         self.tombstoned_at.pop(key, None)
         if entry.value is None:
@@ -95,22 +95,22 @@
     def _compact_write_order(self) -> None:
         """Removes overwritten writes from the write order, which would otherwise grow with every write."""
         newest = sorted((entry.version, key) for key, entry in self.entries.items())
-        self.write_versions = [version for version, _ in newest]
-        self.write_keys = [key for _, key in newest]
+        self.written_versions = [version for version, _ in newest]
+        self.written_keys = [key for _, key in newest]
 
     def entries_after(self, version: int) -> Iterator[tuple[str, Entry]]:
         """Yields the entries that a copy at `version` lacks, in the order of the writes."""
-        for index in range(bisect_right(self.write_versions, version), len(self.write_versions)):
-            key = self.write_keys[index]
+        for index in range(bisect_right(self.written_versions, version), len(self.written_versions)):
+            key = self.written_keys[index]
             entry = self.entries.get(key)
-            if entry is not None and entry.version == self.write_versions[index]:
+            if entry is not None and entry.version == self.written_versions[index]:
                 yield key, entry
 
     def begin_full_copy(self, floor: int) -> None:
         """Clears this copy, because a full copy of the log follows."""
         self.entries.clear()
-        self.write_versions.clear()
-        self.write_keys.clear()
+        self.written_versions.clear()
+        self.written_keys.clear()
         self.tombstoned_at.clear()
         self.version = 0
         self.floor = floor
@@ -161,7 +161,7 @@
         self.logs: dict[Incarnation, ReplicatedLog] = {}
         self.max_logs = max_logs  # bounds the memory, as peers may send any number of incarnations
 
-    def log_of(self, incarnation: Incarnation) -> ReplicatedLog | None:
+    def find_or_create_log(self, incarnation: Incarnation) -> ReplicatedLog | None:
         """Returns the log of an incarnation, created if needed, or None if `max_logs` is reached."""
         log = self.logs.get(incarnation)
         if log is None and len(self.logs) < self.max_logs:
--- a/scalelb/replication/replicator.py
+++ b/scalelb/replication/replicator.py
@@ -106,7 +106,7 @@
         if not self.is_settled:
             self._buffer_until_settled(key, value)
             return
-        own = self.replica.log_of(self.incarnation)
+        own = self.replica.find_or_create_log(self.incarnation)
         if own is None:
             return
         if value is not None and len(own.entries) >= MAX_ENTRIES and key not in own.entries:
@@ -227,7 +227,7 @@
         incarnation = delta.incarnation
         if incarnation == self.incarnation or self.replica.is_closed(incarnation):
             return
-        log = self.replica.log_of(incarnation)
+        log = self.replica.find_or_create_log(incarnation)
         if log is None:
             return
         if delta.is_full_copy and log.floor < delta.floor:
--- a/scalelb/transport/admin.py
+++ b/scalelb/transport/admin.py
@@ -71,7 +71,7 @@
                 self.listener.log("malformed", level="warning", what=str(error), door="admin")
                 self.answer(400, {"error": str(error)})
 
-    def on_request(self, method: str, path: str, keep: bool) -> None:
+    def on_request(self, method: str, path: str, keep_alive: bool) -> None:
         """Answer a complete request."""
         if not self.is_answered:
             try:
@@ -122,9 +122,8 @@
     def __init__(self, reactor: Reactor, control: LimiterControl, log: Log) -> None:
         self.reactor, self.control, self.log = reactor, control, log
         self.clients: dict[AdminConnection, None] = {}  # oldest first
-        self.answer_counts: dict[
-            int, int
-        ] = {}  # by HTTP status, since the start; 0: closed without a request
+        # By HTTP status, since the start; 0: closed without a request.
+        self.answer_counts: dict[int, int] = {}
 
     def on_connect(self, client: AdminConnection) -> None:
         """Add a connection; above the limit, close the oldest, which bounds the number of descriptors."""
--- a/scalelb/transport/counter.py
+++ b/scalelb/transport/counter.py
@@ -71,7 +71,7 @@
                         self.abort_malformed(call, error)
                         return
                 self.is_written = False
-                if response.keep:
+                if response.keep_alive:
                     self.client.release(self)
                 else:
                     self.close()
@@ -123,9 +123,8 @@
         """Add an amount to a number of the counter; `on_reply` is called with the result in any case."""
         request = http.counter_request(self.address, counter_key, amount, retention_ms)
         call = CounterCall(counter_key, amount, retention_ms, request, self.clock())
-        while (
-            self.idle and self.idle[-1].has_unread_data()
-        ):  # unexpected data or end of stream: the call would be lost
+        # After unexpected data or the end of the stream, the call would be lost.
+        while self.idle and self.idle[-1].has_unread_data():
             self.idle.pop().abort()
         if self.idle:
             connection = self.idle.pop()
--- a/scalelb/transport/director.py
+++ b/scalelb/transport/director.py
@@ -16,7 +16,7 @@
 # got no response meanwhile. A connection without a response is therefore closed early enough to poll again.
 HOLD_MS, HOLD_AFTER_FAILURE_MS = 3000, 1  # how long discovery may wait for a change before it responds
 RESPONSE_GRACE_MS = 2500.0  # beyond the hold time; an overloaded discovery responds up to 2 s late
-AGENT_GRACE_MS = 1000.0  # the same for an agent on this machine, which responds at once
+AGENT_GRACE_MS = 1000.0  # the same for a discovery agent on this machine, which serves the list at once
 # Between two parts of a response. The timeout is doubled each time it is exceeded, up to the maximum.
 PROGRESS_TIMEOUT_MS, MAX_PROGRESS_TIMEOUT_MS = 200.0, 3200.0
 CONNECT_TIMEOUT_MS = 1000.0
@@ -77,7 +77,7 @@
         self.next_connect: DelayedCall | None = None
         self.pace = pace
         self.is_stopped = self.has_partial_response = False
-        self.has_failed = False  # the last poll returned no list, so the next one does not wait for a change
+        self.last_poll_failed = False  # it returned no list, so the next one does not wait for a change
         self.progress_timeout_ms = PROGRESS_TIMEOUT_MS
 
     def start(self) -> None:
@@ -101,7 +101,7 @@
 
     def poll(self, connection: DiscoveryConnection) -> None:
         """Send the next poll."""
-        hold_ms = HOLD_AFTER_FAILURE_MS if self.has_failed or self.generation is None else HOLD_MS
+        hold_ms = HOLD_AFTER_FAILURE_MS if self.last_poll_failed or self.generation is None else HOLD_MS
         connection.send(http.watch_request(self.address, self.generation, hold_ms))
         grace_ms = RESPONSE_GRACE_MS if self.pace.is_shared else AGENT_GRACE_MS
         self.response_timeout = self.reactor.callLater(
@@ -113,8 +113,8 @@
         if connection is not self.connection:  # it has been replaced, so its list may be outdated
             return
         self._cancel_response_timeout()
-        self.has_failed = response.status != 200
-        if self.has_failed:
+        self.last_poll_failed = response.status != 200
+        if self.last_poll_failed:
             self.log("director", level="warning", status=response.status)
             if response.status == 503:
                 self.pace.on_rejected()
@@ -125,11 +125,11 @@
         generation, is_complete, entries = http.read_endpoint_list(response.body)
         self.pace.reset()
         self.progress_timeout_ms = PROGRESS_TIMEOUT_MS
-        if not response.keep:
+        if not response.keep_alive:
             connection.close()
         has_changed = is_complete or entries or generation != self.generation
         self.generation = generation
-        if response.keep:
+        if response.keep_alive:
             self.poll(connection)
         if has_changed:
             self.on_endpoint_list(generation, is_complete, entries)
@@ -159,7 +159,7 @@
         """Reconnect after a pause, unless the connection that ended has already been replaced."""
         if connection is self.connection:
             self._cancel_response_timeout()
-            self.has_failed = True
+            self.last_poll_failed = True
             self.connection = None
             self.next_connect = self.reactor.callLater(self.pace.next_delay_ms() / 1000, self.connect)
 
--- a/scalelb/transport/fetch.py
+++ b/scalelb/transport/fetch.py
@@ -144,7 +144,7 @@
         try:
             if (attempt := self.attempt) is None:
                 raise MalformedError("bytes that nothing asked for")
-            if self.on_piece is not None and self.reader.left:
+            if self.on_piece is not None and self.reader.streamed_bytes_left:
                 piece, data = self.reader.split_streamed(data)
                 self.forward_piece(piece)
             reply = self.reader.read(data)
@@ -160,7 +160,7 @@
         self.is_written = False
         # The connection is released before the result is reported, as handling the result may start another
         # attempt on it. Any bytes after the reply would be read as part of the reply to that attempt.
-        if self.reader.extra:
+        if self.reader.has_extra_bytes:
             self.abort_malformed("unexpected data after the reply")
         else:
             self.backend.release(self)
--- a/scalelb/transport/session.py
+++ b/scalelb/transport/session.py
@@ -168,12 +168,13 @@
         return True
 
     def close_idle(self) -> None:
-        """Close an idle connection. The peer sees this at once, as it may be about to write a request."""
+        """Close an idle connection now, so that the peer learns of it before it writes another request."""
         self.is_closing = self.is_input_ended = True
         self.close_immediately()
 
     def close_gracefully(self) -> None:
-        """Half-close the connection, and close it shortly after.
+        """Half-close the connection now, so that the peer learns of it before it writes another request, and
+        close it shortly after.
 
         Closing it while bytes arrive would reset it, and the client could lose the answer that was just
         written. Such bytes are not read: the client sends its request again on another connection.
@@ -181,7 +182,9 @@
         self.is_closing = self.is_input_ended = True
         self.active_at = self.listener.clock()
         self.pause()
-        self.shutdown_write()  # the peer sees this at once, as it may be about to write a request
+        # Half-closes the socket now: `half_close` alone would do so only in a later round of the reactor, and
+        # the peer could write another request in the meantime.
+        self.shutdown_write()
         self.half_close()
 
     def fail_pending_answers(self) -> None:
--- a/scalelb/transport/status.py
+++ b/scalelb/transport/status.py
@@ -48,7 +48,7 @@
             self.send(http.response(400, "Bad Request", b"{}"))
             self.close()
 
-    def on_request(self, method: str, path: str, keep: bool) -> None:
+    def on_request(self, method: str, path: str, keep_alive: bool) -> None:
         """Answer a request: `/health` and `/ready` report readiness, `/live` that the process runs."""
         status, weight = self.factory.get_status()
         body = orjson.dumps({"status": status.value, "weight": round(weight, 3)})
@@ -62,7 +62,7 @@
             code, reason = 404, "Not Found"
         answer = http.response(code, reason, body)
         self.send(answer.partition(b"\r\n\r\n")[0] + b"\r\n\r\n" if method == "HEAD" else answer)
-        if not keep:
+        if not keep_alive:
             self.close()
 
     def lost(self) -> None:
--- a/scalelb/transport/stream.py
+++ b/scalelb/transport/stream.py
@@ -154,7 +154,10 @@
         self.close()
 
     def shutdown_write(self) -> None:
-        """Half-close at once a connection that has no bytes left to write."""
+        """Half-close a connection that has no bytes left to write, before this returns.
+
+        `half_close` does so in a later round of the reactor, when all bytes are written.
+        """
         if self.socket is not None:
             with suppress(OSError):  # the connection may have been reset
                 self.socket.shutdown(SHUT_WR)
--- a/scalelb/wirehost.py
+++ b/scalelb/wirehost.py
@@ -60,7 +60,8 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
-MODES = {"incr": False, "total": True, "warm_copy": True}
+# Whether a `Discovery` message of this mode refers to the complete endpoint list.
+IS_COMPLETE_BY_MODE = {"incr": False, "total": True, "warm_copy": True}
 
 
 class WireError(Exception):
@@ -71,8 +72,8 @@
     """An exception inside a limiter."""
 
 
-def read_endpoint(item: Fields) -> Endpoint:
-    """Translate one entry of an endpoint list."""
+def decode_endpoint(item: Fields) -> Endpoint:
+    """Return the endpoint of one item of a `Ledger` message."""
     return Endpoint(
         name=item["server"],
         state=STATES[item["state"]],
@@ -83,8 +84,8 @@
     )
 
 
-def read_event(name: str, fields: Fields, endpoint_lists: dict[int, tuple[Endpoint, ...]]) -> Event:
-    """Translate one event for a running instance."""
+def decode_event(name: str, fields: Fields, endpoint_lists: dict[int, tuple[Endpoint, ...]]) -> Event:
+    """Return the event of one message to a running instance."""
     match name:
         case "Accept":
             return RequestArrived(
@@ -108,9 +109,8 @@
                 request_finished=fields.get("complete", False),
                 true_units=fields.get("final-units", 0),
                 load_report=fields.get("telemetry", {}),
-                quota_used_percent=fields["usage"] - 1.0
-                if fields.get("usage")
-                else None,  # not reported if 0 or absent; else the value plus 1
+                # `usage` is the percentage plus 1; 0 or absent: not reported.
+                quota_used_percent=fields["usage"] - 1.0 if fields.get("usage") else None,
             )
         case "Fired":
             return TimerFired(tag=fields.get("tag", 0))
@@ -131,7 +131,8 @@
             if fields["mode"] == "lost":
                 return EndpointListLost()
             return EndpointsListed(
-                endpoints=endpoint_lists[fields.get("roster-id", 0)], is_complete=MODES[fields["mode"]]
+                endpoints=endpoint_lists[fields.get("roster-id", 0)],
+                is_complete=IS_COMPLETE_BY_MODE[fields["mode"]],
             )
         case "Checked":
             return HealthCheckEnded(
@@ -147,8 +148,8 @@
     raise WireError(f"unknown event {name!r}")
 
 
-def write_action(instance: int, action: Action) -> Fields:
-    """Translate one action."""
+def encode_action(instance: int, action: Action) -> Fields:
+    """Return the message for one action."""
     match action:
         case SendAttempt():
             name, fields = "PassOn", {"tid": action.request_id, "server": action.endpoint}
@@ -180,12 +181,12 @@
     return {name: {"i": instance, **fields}}
 
 
-class Host:
+class InstanceHost:
     """Runs the limiter instances of one process behind the wire protocol."""
 
     def __init__(self) -> None:
         self.limiters: dict[int, Limiter] = {}
-        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by roster id
+        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the `roster-id` of a `Ledger` message
         self.batch: int | None = None  # number of the current batch; None between batches
         self.now = 0.0  # ms
         self.replies: list[Fields] = []
@@ -225,7 +226,7 @@
             return self.replies
         elif name == "Ledger":
             self.endpoint_lists[fields.get("roster-id", 0)] = tuple(
-                read_endpoint(item) for item in fields["items"]
+                decode_endpoint(item) for item in fields["items"]
             )
         else:
             self._handle_event(name, fields)
@@ -241,7 +242,7 @@
         elif instance not in self.limiters:
             raise WireError(f"{name} for instance {instance}, which is not running")
         else:
-            self._run_limiter(instance, read_event(name, fields, self.endpoint_lists))
+            self._run_limiter(instance, decode_event(name, fields, self.endpoint_lists))
 
     def _run_limiter(self, instance: int, event: Event) -> None:
         try:
@@ -251,12 +252,12 @@
             description = str(error) if is_described else f"{type(error).__name__}: {error}"
             self.replies.append({"BailOut": {"i": instance, "words": description}})
             raise LimiterFaultError from error
-        self.replies.extend(write_action(instance, action) for action in actions)
+        self.replies.extend(encode_action(instance, action) for action in actions)
 
 
 def serve(lines: Iterable[str], output: TextIO) -> None:
     """Process batches and write their replies until the input ends."""
-    host = Host()
+    host = InstanceHost()
     for line in lines:
         if not line.strip():
             continue
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -44,7 +44,7 @@
         self.requests: dict[int, tuple[str, int, float, int]] = {}  # tenant, plan, units, attempts
         self.counts: Counter[str] = Counter()
         self.is_counter_unreachable = False
-        # Duration of an attempt at an endpoint; a negative one stands for a failure to connect.
+        # Duration of an attempt at an endpoint; a negative one means a failure to connect.
         self.attempt_duration_ms: Callable[[str], float] = lambda endpoint: 200.0
         for limiter in self.limiters:
             self.handle(limiter, Started())
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -182,7 +182,7 @@
     def wait_for_event(self, event: str, **expected: Any) -> dict[str, Any]:
         """Read the log up to the next line of this event with the expected fields, and return its fields."""
         assert self.process.stderr is not None
-        watchdog = threading.Timer(TIMEOUT_S, self.process.kill)  # Ends the read if the line never comes.
+        watchdog = threading.Timer(TIMEOUT_S, self.process.kill)  # Ends the read if the line never arrives.
         watchdog.start()
         try:
             for line in self.process.stderr:
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -64,9 +64,8 @@
     assert len(queue.forwarded.by_id) == 12 == queue.forwarded.in_flight
     assert len(queue.queued.by_id) == 28
     assert not queue.release(0.0)
-    assert (
-        arrive(queue, make_request(100, "quiet")).decision is QueueDecision.FORWARD
-    )  # its tenant has used less than its share
+    # Its tenant has used less than its share.
+    assert arrive(queue, make_request(100, "quiet")).decision is QueueDecision.FORWARD
     for number in range(101, 130):
         arrive(queue, make_request(number, "quiet"))
     served = serve(queue, 40)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -60,7 +60,7 @@
         result = read_outcome(reply, is_health_check=True)
         assert (result.outcome.value, result.report) == ("ok" if kind == "one" else kind, report)
         assert kind != "one" or (result.value is not None and bytes(result.value) == b"$3\r\none\r\n")
-        assert not reader.extra
+        assert not reader.has_extra_bytes
     assert NO_LOAD_REPORT == {}
 
 
@@ -130,7 +130,7 @@
     """Return the result of a reply that arrives in pieces, split at these positions."""
     reader = resp.ReplyReader()
     [reply] = filter(None, map(reader.read, split_at(wire, positions)))
-    assert not reader.extra
+    assert not reader.has_extra_bytes
     return read_outcome(reply, is_health_check=False)
 
 
@@ -209,7 +209,7 @@
     reader = http.ResponseReader()
     informational = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
     [final] = reader.feed(informational + b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n12")
-    assert (final.status, final.body, final.keep) == (200, b"12", True)
+    assert (final.status, final.body, final.keep_alive) == (200, b"12", True)
 
 
 @FAST_SETTINGS
@@ -254,9 +254,12 @@
         resp.ReplyReader().read(b"*3\r\n$%d\r\n" % (resp.MAX_STREAMED_VALUE_BYTES + 1))
     reader = resp.ReplyReader()
     assert reader.read(b"*3\r\n$%d\r\nabc" % (len(longest) + 1)) is None
-    assert (reader.begin_streaming(), reader.left) == (b"$%d\r\nabc" % (len(longest) + 1), len(longest) - 2)
+    assert (reader.begin_streaming(), reader.streamed_bytes_left) == (
+        b"$%d\r\nabc" % (len(longest) + 1),
+        len(longest) - 2,
+    )
     piece, rest = reader.split_streamed(longest)
-    assert (len(piece), rest, reader.left) == (len(longest) - 2, b"vv", 0)
+    assert (len(piece), rest, reader.streamed_bytes_left) == (len(longest) - 2, b"vv", 0)
     with pytest.raises(MalformedError):
         reader.read(rest)
     with pytest.raises(MalformedError):
--- a/tests/test_configuration_properties.py
+++ b/tests/test_configuration_properties.py
@@ -257,18 +257,18 @@
 ) -> None:
     kind, path = change
     contents = {**valid_files(), kind: file_content(kind, replace_value(DOCUMENTS[kind], path, value))}
-    stage = Harness()
-    config_before, line_count = stage.program.config, len(stage.logged)
+    harness = Harness()
+    config_before, line_count = harness.program.config, len(harness.logged)
     with tempfile.TemporaryDirectory() as folder:
         environment = write_files(Path(folder), contents)
-        stage.program.reread = lambda: read_config(environment, is_reload=True)
-        stage.program.reload()
-    [line] = stage.logged[line_count:]
+        harness.program.reread = lambda: read_config(environment, is_reload=True)
+        harness.program.reload()
+    [line] = harness.logged[line_count:]
     assert line["event"] in ("configuration", "reloaded")
     if line["event"] == "configuration":
         assert line["kept"]
-        assert stage.program.config == config_before
-    stage.run("""
+        assert harness.program.config == config_before
+    harness.run("""
         client send {call(1)}
         backend expect CALL.GET
         backend send *3\\n$2\\nok\\n$-1\\n$-1\\n
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -154,9 +154,8 @@
     attempts = accept_and_read(backend, at_backend, answers=False).count(b"CALL.GET")
     client.close()
     for _ in eventually():
-        if "08" in tcp_states(
-            limiter.started["port"]
-        ):  # the kernel has the client's FIN; the limiter has not read it
+        # The kernel has the client's FIN; the limiter has not read it.
+        if "08" in tcp_states(limiter.started["port"]):
             break
     first.sendall(encode_lines(SERVED))  # ends an attempt, so that the next request could be forwarded
     wait_for_closed_sessions(limiter, remaining=1)
@@ -231,9 +230,8 @@
     discovery, backend = Peer(), Peer()
     limiter = run_limiter(discovery, entry(backend))
     limiter.wait_for_event("ready")
-    with (
-        limiter.connect() as first
-    ):  # Twisted accepts as many per iteration as in the previous one, then more
+    # Twisted accepts as many per iteration as in the previous one, then more.
+    with limiter.connect() as first:
         first.sendall(encode_lines("*1\n$4\nPING\n"))
         read_until(first, b"PONG\r\n")
     limiter.process.send_signal(signal.SIGTERM)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -142,7 +142,7 @@
 
     - Each limiter overdraws a token bucket by one request; half of the burst is reserved for that.
     - When a tenant begins, a limiter that has got one request assumes that one request of each of the others
-      came earlier and was covered by units that overflowed the full bucket.
+      arrived earlier and was covered by units that overflowed the full bucket.
     - A killed limiter has sent one request that no replica of its account records.
     - When the counting window changes under load, no limiter knows what each of the others has taken since
       its last answer from the counter: one request, as an empty bucket admits no more between two answers."""
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -32,9 +32,9 @@
 
 
 def test_fleet_avoids_unreachable_endpoints() -> None:
-    # Guards against repeated attempts at endpoints that are gone but still listed: during a release, 40% of
-    # all attempts went to 20 such endpoints, as each limiter tried each of them again within seconds, and
-    # these attempts used up the retry budget.
+    # Guards against repeated attempts at endpoints that no longer exist but are still listed: during a
+    # release, 40% of all attempts went to 20 such endpoints, as each limiter tried each of them again within
+    # seconds, and these attempts used up the retry budget.
     unreachable = {f"s{n}" for n in range(20)}
     counts = run_fleet(60, lambda endpoint: -1.0 if endpoint in unreachable else 200.0).counts
     # At the start, all four attempts of a request may go to unreachable endpoints.
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -124,8 +124,8 @@
 
 
 def test_client_may_take_two_seconds_to_send_a_request_head() -> None:
-    stage = Harness()
-    stage.run("""
+    harness = Harness()
+    harness.run("""
         client send {call(1)[:20]}
         wait 2000
         client send {call(1)[20:]}
@@ -134,8 +134,8 @@
 
 
 def test_stats_count_the_answers_that_were_sent() -> None:
-    stage = Harness(cancels_attempts=True)
-    stage.run("""
+    harness = Harness(cancels_attempts=True)
+    harness.run("""
         client send {call(1)}
         backend expect CALL.GET
         backend send *3\\n$2\\nok\\n$-1\\n$-1\\n
@@ -144,39 +144,39 @@
         client2 send {call(3, 'record-answer', wait=400, key='a')}
         backend2 expect CALL.POST
         """)
-    stats = stage.program.stats()
+    stats = harness.program.stats()
     assert (stats["active"], stats["pool_size"], stats["pool_ejected"]) == (2, 1, 0)
-    stage.run("wait 400\n client2 expect -BUSY")
-    responses = stage.program.stats()["responses"]
+    harness.run("wait 400\n client2 expect -BUSY")
+    responses = harness.program.stats()["responses"]
     assert responses["fetch-cards"] == {"ok": 1, "shed": 0, "errors": 0, "tries": 2}
     assert responses["record-answer"] == {"ok": 0, "shed": 1, "errors": 0, "tries": 1}
-    stage.run("backend send *3\\n$300000\\nabc\n backend close\n client closed")
-    assert stage.program.stats()["responses"]["fetch-cards"]["errors"] == 1
-    assert stage.program.stats()["active"] == 0
+    harness.run("backend send *3\\n$300000\\nabc\n backend close\n client closed")
+    assert harness.program.stats()["responses"]["fetch-cards"]["errors"] == 1
+    assert harness.program.stats()["active"] == 0
 
 
 def test_ejected_backend_gets_no_requests_and_is_readmitted_with_slow_start() -> None:
-    stage = Harness(backends=2)
-    assert stage.program.override_endpoint("s1", True) == 200
-    assert stage.program.override_endpoint("s1", True) == 200
-    assert stage.program.override_endpoint("unknown", True) == 404
-    stage.run("director expect GET\n director send {listing(2, entry(0), entry(1))}")
+    harness = Harness(backends=2)
+    assert harness.program.override_endpoint("s1", True) == 200
+    assert harness.program.override_endpoint("s1", True) == 200
+    assert harness.program.override_endpoint("unknown", True) == 404
+    harness.run("director expect GET\n director send {listing(2, entry(0), entry(1))}")
     for number in range(1, 9):
-        stage.run(f"client send {{call({number}, swap=('0000ad', '0000a{number}'))}}")
-    assert "backend1" not in stage.net.wires
-    assert stage.program.override_endpoint("s1", False) == 200
-    stage.wait(0)
-    assert [tracked.endpoint.name for tracked in stage.loop.core.limiter.selector.slow_start.warming_up] == [
-        "s1"
-    ]
-    assert stage.program.stats()["pool_ejected"] == 0
+        harness.run(f"client send {{call({number}, swap=('0000ad', '0000a{number}'))}}")
+    assert "backend1" not in harness.net.wires
+    assert harness.program.override_endpoint("s1", False) == 200
+    harness.wait(0)
+    assert [
+        tracked.endpoint.name for tracked in harness.loop.core.limiter.selector.slow_start.warming_up
+    ] == ["s1"]
+    assert harness.program.stats()["pool_ejected"] == 0
 
 
 class OperatorCall:
     """A call of the operator API, in memory."""
 
-    def __init__(self, stage: Harness, operator_api: AdminListener, data: bytes = b"") -> None:
-        self.wire: Any = stage.net.connect("admin", operator_api)
+    def __init__(self, harness: Harness, operator_api: AdminListener, data: bytes = b"") -> None:
+        self.wire: Any = harness.net.connect("admin", operator_api)
         if data:
             self.wire.protocol.dataReceived(data)
 
@@ -212,26 +212,26 @@
     ids=lambda value: str(value)[:60],
 )
 def test_operator_api_answers_each_call_once_and_closes_the_connection(data: bytes, status: int) -> None:
-    stage = Harness()
-    operator_api = AdminListener(stage.net, stage.program, stage.log)
-    call = OperatorCall(stage, operator_api, data)
+    harness = Harness()
+    operator_api = AdminListener(harness.net, harness.program, harness.log)
+    call = OperatorCall(harness, operator_api, data)
     assert call.status == status
     assert call.wire.value().count(b"HTTP/1.1") == (status > 0)
     assert call.wire.ended is (status > 0)
-    stage.wait(5100)
+    harness.wait(5100)
     assert call.wire.ended
     assert not operator_api.clients
     assert operator_api.answer_counts == {status: 1}  # for the tally log line
-    stage.run("client send {call(1)}")
-    assert ("backend" in stage.net.wires) is (b"/s0/maint" not in data or status != 200)
+    harness.run("client send {call(1)}")
+    assert ("backend" in harness.net.wires) is (b"/s0/maint" not in data or status != 200)
 
 
 def test_idle_operator_connections_are_closed_for_a_caller_that_sends_a_request() -> None:
-    stage = Harness()
-    operator_api = AdminListener(stage.net, stage.program, stage.log)
-    idle_calls = [OperatorCall(stage, operator_api) for _ in range(3 * MAX_CLIENTS)]
+    harness = Harness()
+    operator_api = AdminListener(harness.net, harness.program, harness.log)
+    idle_calls = [OperatorCall(harness, operator_api) for _ in range(3 * MAX_CLIENTS)]
     assert len(operator_api.clients) == MAX_CLIENTS
-    assert OperatorCall(stage, operator_api, http_request("GET", "/healthcheck")).status == 200
+    assert OperatorCall(harness, operator_api, http_request("GET", "/healthcheck")).status == 200
     assert sum(not call.wire.ended for call in idle_calls) == MAX_CLIENTS - 1
 
 
@@ -307,21 +307,21 @@
 
 
 def test_limiter_without_operator_api_or_inherited_socket_uses_no_shared_folder() -> None:
-    stage = Harness()
-    assert stage.program.incarnation is None
-    assert stage.program.admin is None
+    harness = Harness()
+    assert harness.program.incarnation is None
+    assert harness.program.admin is None
 
 
 def test_memory_of_values_read_ahead_of_slow_clients_is_bounded_in_total() -> None:
     # Many large values at once, for clients that read nothing, must not exhaust the memory.
-    stage = Harness(backends=3)
-    listener = stage.program.listener
+    harness = Harness(backends=3)
+    listener = harness.program.listener
     listener.max_read_ahead_bytes = 1_000_000
     for number in range(1, 13):
-        stage.run(f"client{number} send {{call({number}, swap=('0000ad', '00{number:02}ad'))}}")
-        stage.wire(f"client{number}").protocol.is_flushed = False  # The kernel's send buffer is full.
+        harness.run(f"client{number} send {{call({number}, swap=('0000ad', '00{number:02}ad'))}}")
+        harness.wire(f"client{number}").protocol.is_flushed = False  # The kernel's send buffer is full.
     backend_wires = [
-        wire for name, wires in stage.net.wires.items() if name.startswith("backend") for wire in wires
+        wire for name, wires in harness.net.wires.items() if name.startswith("backend") for wire in wires
     ]
     for wire in backend_wires:
         wire.protocol.dataReceived(b"*3\r\n$4000000\r\n")
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -525,9 +525,8 @@
     new_probers = set(cluster.names) - ejected_by(cluster) - {prober}
     assert len(new_probers) == 1
     member = cluster.member(new_probers.pop())
-    member.core.limiter.selector.endpoints[
-        "deck-0"
-    ].consecutive_successes = 2  # two successes in a row: all members may use it again
+    # Two successes in a row: all members may use it again.
+    member.core.limiter.selector.endpoints["deck-0"].consecutive_successes = 2
     cluster.run(cluster.now + 4500.0)
     assert not ejected_by(cluster)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Soak test of shutdowns: its rules detect planted violations, and the real program keeps them."""
+"""Soak test of shutdowns: its rules detect planted violations, and the real program follows them."""
 
 from __future__ import annotations
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -155,6 +155,6 @@
     usage: dict[str, int], expected: float | None
 ) -> None:
     settled = {"i": 3, "tid": 71, "server": "a", "reason": "done", "complete": True, "final-units": 3}
-    event = wirehost.read_event("Settled", {**settled, **usage}, {})
+    event = wirehost.decode_event("Settled", {**settled, **usage}, {})
     assert isinstance(event, AttemptEnded)
     assert (event.quota_used_percent, event.true_units) == (expected, 3)
